--- a/packages/gateway/ibisring_gateway/following.py
+++ b/packages/gateway/ibisring_gateway/following.py
@@ -285,7 +285,7 @@
         return self.members[name].position or 0
 
     def standing(self, is_lost):
-        """Give the `storereaders.StoreStatus` of this router.
+        """Give the `storereaders.StoreAccess` of this router.
 
         Parameters
         ----------
@@ -293,11 +293,11 @@
             Whether the store has stopped answering it.
         """
         if is_lost:
-            return storereaders.StoreStatus.LOST
+            return storereaders.StoreAccess.LOST
         with self.lock:
             if self.polling.is_any_failing():
-                return storereaders.StoreStatus.UNSURE
-        return storereaders.StoreStatus.SERVED
+                return storereaders.StoreAccess.UNSURE
+        return storereaders.StoreAccess.SERVED
 
     def change_pause(self):
         """Give the seconds to pause after a change."""
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -68,7 +68,7 @@
     full: list[str] = []
     domain: str = ''
     lost_ms: int | None = None
-    standing: storereaders.StoreStatus = storereaders.StoreStatus.UNSURE
+    standing: storereaders.StoreAccess = storereaders.StoreAccess.UNSURE
     counts: dict[str, tuple[int, int]] = {}
     position: int = 0
     table_position: int = 0
@@ -197,7 +197,7 @@
             full=full,
             domain=self.settings.failure_domain,
             lost_ms=self._lost_ms(now),
-            standing=own.store_status,
+            standing=own.store_access,
             counts=self.peers.hearing.counts_to_send(now),
             # Not how far this router has read, which may not be in force
             # yet: others would take what it has just read for known.
@@ -353,7 +353,7 @@
         self._hear(told, f'{source[0]}:{source[1]}', now)
         if told.changes:
             self._take_changes(told)
-        elif told.standing is storereaders.StoreStatus.SERVED:
+        elif told.standing is storereaders.StoreAccess.SERVED:
             self._confirm(told)
         self.view.term = max(self.view.term, told.term)
         for name, (started, first, end) in told.held.items():
@@ -405,7 +405,7 @@
             name=told.router,
             domain=told.domain,
             received_at=now,
-            store_contact=told.touch,
+            store_status=told.touch,
             neighbour=storereaders.Neighbour(
                 told.router, told.standing, told.link, told.reads
             ),
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -133,8 +133,8 @@
             self.followers.told_of_loss(
                 heard.received_at - lost_ms / SECOND_MS
             )
-        was_lost = before is not None and before.store_contact is LOST
-        if was_lost and heard.store_contact is FOLLOWED:
+        was_lost = before is not None and before.store_status is LOST
+        if was_lost and heard.store_status is FOLLOWED:
             self.followers.returned()
         row = self.known.get(heard.name)
         if row is None or row.address != address:
@@ -219,7 +219,7 @@
         -------
         dict of str to ordering.StoreTouch
         """
-        return self.hearing.store_contacts(now)
+        return self.hearing.store_statuses(now)
 
     def fleet(self, now):
         """Give how many routers there may be, this one included.
--- a/packages/gateway/ibisring_gateway/tests/test_gossip.py
+++ b/packages/gateway/ibisring_gateway/tests/test_gossip.py
@@ -52,7 +52,7 @@
     data = msgspec.msgpack.encode(_Older('a', {}, [], domain='d', touch=2))
     told = msgspec.msgpack.decode(data, type=gossip.Told)
     neighbour = storereaders.Neighbour(told.router, told.standing, told.link)
-    own = storereaders.Neighbour('b', storereaders.StoreStatus.SERVED)
+    own = storereaders.Neighbour('b', storereaders.StoreAccess.SERVED)
     assert (
         storereaders.choose_role(own, [neighbour] * 3)
         is storereaders.Role.READS
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -33,7 +33,7 @@
         name=name,
         domain=domain,
         received_at=at,
-        store_contact=touch,
+        store_status=touch,
         neighbour=neighbour,
     )
     known.heard(heard, f'{name}:1', lost_ms)
@@ -64,12 +64,12 @@
     clock = builders.Clock()
     known.view.clock = clock
     known.hearing.started_at = 0.0
-    served = storereaders.StoreStatus.SERVED
+    served = storereaders.StoreAccess.SERVED
     for name, domain in (('q1', 'a'), ('r1', 'a'), ('s1', 'b'), ('t1', 'B')):
         _hear(known, name, domain, LOST, clock(), None, served)
     assert known.place() == polling.Fleet(4, 2, 5)
     for name in ('q1', 'r1'):
-        lost = storereaders.StoreStatus.LOST
+        lost = storereaders.StoreAccess.LOST
         _hear(known, name, 'a', LOST, clock(), None, lost)
     known._judge_role(clock())
     assert known.role() is storereaders.Role.ASKS
@@ -146,7 +146,7 @@
     assert known.store_touches(10.0 + peerreports.ROUTER_TIMEOUT_SECONDS) == {}
     if count == 6:
         assert (
-            known.store_touches(10.0 + peerreports.STORE_CONTACT_SECONDS) == {}
+            known.store_touches(10.0 + peerreports.STORE_STATUS_SECONDS) == {}
         )
 
 
--- a/packages/policy/ibisring_policy/gateway/peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/peerreports.py
@@ -20,7 +20,7 @@
 # Seconds after its start in which a router has not heard all of its domain.
 COUNT_WARMUP_SECONDS = 2.0
 # Seconds for which what a router knows of the store counts.
-STORE_CONTACT_SECONDS = 2.5
+STORE_STATUS_SECONDS = 2.5
 SECOND_MS = 1000.0
 # Of a domain of which nothing was told: when that was, and how many run.
 _NEVER = (-math.inf, 0)
@@ -35,7 +35,7 @@
     name: str
     domain: str
     received_at: float
-    store_contact: ordering.StoreTouch
+    store_status: ordering.StoreTouch
     neighbour: storereaders.Neighbour | None = None
 
     @property
@@ -44,7 +44,7 @@
         known = self.neighbour
         if (
             known is None
-            or known.store_status is not storereaders.StoreStatus.SERVED
+            or known.store_access is not storereaders.StoreAccess.SERVED
         ):
             return True
         return known.reads_store
@@ -65,7 +65,7 @@
     >>> lost = ordering.StoreTouch.LOST
     >>> for name, domain in (('r2', 'a'), ('r3', 'b')):
     ...     report = PeerReport(
-    ...         name=name, domain=domain, received_at=9.0, store_contact=lost
+    ...         name=name, domain=domain, received_at=9.0, store_status=lost
     ...     )
     ...     hearing.receive(report)
     >>> hearing.receive_counts({'b': (39, 500)}, 'b', 9.0)
@@ -139,7 +139,7 @@
         near = self.near(now, storereaders.PEER_TIMEOUT_SECONDS)
         return [heard.neighbour for heard in near if heard.neighbour]
 
-    def store_contacts(self, now):
+    def store_statuses(self, now):
         """Give what the routers heard lately know of the store.
 
         One that leaves reading to others and has noticed nothing knows
@@ -149,8 +149,8 @@
         -------
         dict of str to ordering.StoreTouch
         """
-        lately = self.lately(now, STORE_CONTACT_SECONDS)
-        return {h.name: h.store_contact for h in lately if h.has_seen_store}
+        lately = self.lately(now, STORE_STATUS_SECONDS)
+        return {h.name: h.store_status for h in lately if h.has_seen_store}
 
     def router_counts(self, now):
         """Give the running routers by failure domain, this one included.
--- a/packages/policy/ibisring_policy/gateway/storereaders.py
+++ b/packages/policy/ibisring_policy/gateway/storereaders.py
@@ -8,7 +8,7 @@
 """
 
 __all__ = [
-    'StoreStatus',
+    'StoreAccess',
     'Role',
     'Neighbour',
     'choose_role',
@@ -31,7 +31,7 @@
 STARTUP_LISTEN_SECONDS = 1.2
 
 
-class StoreStatus(enum.IntEnum):
+class StoreAccess(enum.IntEnum):
     """How a router stands with the store, as it tells the others.
 
     One that has just started, or has seen a sign of trouble since the store
@@ -61,7 +61,7 @@
     """
 
     name: str
-    store_status: StoreStatus
+    store_access: StoreAccess
     link: float = 0.0
     reads_store: bool = False
 
@@ -87,16 +87,16 @@
 
     Examples
     --------
-    >>> a, b, c = (Neighbour(name, StoreStatus.SERVED) for name in 'abc')
+    >>> a, b, c = (Neighbour(name, StoreAccess.SERVED) for name in 'abc')
     >>> choose_role(c, [a, b]).name
     'TOLD'
-    >>> choose_role(c, [a, Neighbour('b', StoreStatus.LOST)]).name
+    >>> choose_role(c, [a, Neighbour('b', StoreAccess.LOST)]).name
     'READS'
-    >>> choose_role(Neighbour('c', StoreStatus.SERVED, 100.0), [a, b]).name
+    >>> choose_role(Neighbour('c', StoreAccess.SERVED, 100.0), [a, b]).name
     'READS'
     """
-    standings = [each.store_status for each in others]
-    if standings.count(StoreStatus.LOST) >= READERS_PER_DOMAIN:
+    standings = [each.store_access for each in others]
+    if standings.count(StoreAccess.LOST) >= READERS_PER_DOMAIN:
         # A store that turns some routers away still serves the others, who
         # then need not all ask it.
         served = [e for e in (own, *others) if e.reads_store and _is_served(e)]
@@ -114,7 +114,7 @@
 
 
 def _is_served(neighbour):
-    return neighbour.store_status is StoreStatus.SERVED
+    return neighbour.store_access is StoreAccess.SERVED
 
 
 def fleet_position(own_domain, rank, counts):
--- a/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
@@ -14,7 +14,7 @@
     for name, touch in heard.items():
         made.receive(
             peerreports.PeerReport(
-                name=name, domain='a', received_at=10.0, store_contact=touch
+                name=name, domain='a', received_at=10.0, store_status=touch
             )
         )
     return made
@@ -57,18 +57,18 @@
     made = _hearing(r2=LOST, r3=FOLLOWED)
     for name, reads in (('r4', True), ('r5', False)):
         neighbour = storereaders.Neighbour(
-            name, storereaders.StoreStatus.SERVED, reads_store=reads
+            name, storereaders.StoreAccess.SERVED, reads_store=reads
         )
         made.receive(
             peerreports.PeerReport(
                 name=name,
                 domain='a',
                 received_at=10.0,
-                store_contact=FOLLOWED,
+                store_status=FOLLOWED,
                 neighbour=neighbour,
             )
         )
-    assert made.store_contacts(10.5) == {
+    assert made.store_statuses(10.5) == {
         'r2': LOST,
         'r3': FOLLOWED,
         'r4': FOLLOWED,
--- a/packages/policy/ibisring_policy/gateway/tests/test_storereaders.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_storereaders.py
@@ -4,9 +4,9 @@
 
 from ibisring_policy.gateway import storereaders
 
-LOST = storereaders.StoreStatus.LOST
-SERVED = storereaders.StoreStatus.SERVED
-UNSURE = storereaders.StoreStatus.UNSURE
+LOST = storereaders.StoreAccess.LOST
+SERVED = storereaders.StoreAccess.SERVED
+UNSURE = storereaders.StoreAccess.UNSURE
 
 
 def _roles(standings, links=None):
