--- a/packages/policy/ibisring_policy/gateway/suspects.py
+++ b/packages/policy/ibisring_policy/gateway/suspects.py
@@ -1,13 +1,13 @@
-"""Which requests are suspected of ending the endpoints that run them.
+"""Which requests are suspected of crashing the endpoints that run them.
 
-A request may end each endpoint that begins to run it, and come again under
-another name at any router.  Requests that only ran beside it see their
-endpoints end as well, and are sent on together with it.  What tells them apart
-is that they are answered sooner or later, and that all the ends they saw may
-be among those that another request saw, beside further ones.
+A request may crash each endpoint that starts to run it, and be submitted again
+under another id at any router.  Requests that only ran beside it see their
+endpoints crash as well, and are retried together with it.  They differ in that
+they are answered sooner or later, and that all the crashes they saw may be a
+strict subset of those that another request saw.
 
-The routers' evidence is added up: each tells the ends that it has seen, and
-whoever hears of them tells them on.
+The evidence of all routers is combined: each sends the crashes that it has
+seen to others, which forward what is new to them.
 
 References
 ----------
@@ -21,55 +21,56 @@
 
 import msgspec
 
-# Ends of endpoints from which on a request is sent on no more.
+# Crashes from which on a request is refused instead of being retried.
 MAX_CRASHES = 3
-# Seconds for which it is refused after the last of them: long enough to
-# replace what the endpoints run.  Then it may run once more.
-REFUSED_FOR = 600.0
-# Seconds after which a suspect that nothing was heard of is forgotten, and
-# one that was answered, whose answer has reached all routers by then.
-FORGOTTEN_AFTER = 1800.0
-CLEARED_FOR = 60.0
-# After the last end but one, a suspect waits for so many steps of this length,
-# in seconds, as its digest says: those that saw the same end then run one
-# after another, and an end that follows speaks against one of them only.
-STEP = 0.15
-STEPS = 8
-# Seconds after its sending within which a lost answer counts against it.
+# How long it is refused after the last crash: long enough to replace the
+# software of the endpoints.  After that it may run once more.
+REFUSAL_SECONDS = 600.0
+# How long a suspect is kept without new evidence.  One that was answered is
+# kept only until its answer has reached all routers.
+SUSPECT_TTL_SECONDS = 1800.0
+CLEARED_TTL_SECONDS = 60.0
+# A suspect that may crash only once more before it is refused waits, after its
+# last crash, for a number of slots that its digest selects.  Suspects that
+# share a crash then run one after another, and the next crash counts against
+# only one of them.
+SLOT_SECONDS = 0.15
+SLOTS = 8
+# A lost answer counts against a request only within this time after sending.
 LOST_ANSWER_SECONDS = 3.0
-# Suspects that are known at most.  Each has ended an endpoint or run beside
-# one that did.
-MOST_KNOWN = 1000
-# Ends that are kept of one suspect.
-MOST_KEPT = 16
-# Seconds for which all of what is new of a suspect is told, and how many are
-# told at once, new ones and old ones.
-TOLD_FOR = 2.0
-MOST_NEW = 16
-MOST_OLD = 4
+# Bound on the suspects that are kept.  Each has crashed an endpoint or run
+# beside a request that did.
+MAX_SUSPECTS = 1000
+# Bound on the crashes that are kept of one suspect.
+MAX_KEPT_CRASHES = 16
+# How long a changed suspect is part of every update, and bounds on the changed
+# and the unchanged suspects in one update.
+NEW_SECONDS = 2.0
+MAX_NEW_SENT = 16
+MAX_OLD_SENT = 4
 SECOND_MS = 1000.0
 
 
 class SuspectUpdate(msgspec.Struct, array_like=True):
-    """What a router tells of a suspect.
+    """What a router sends to others about a suspect.
 
-    `ends` gives milliseconds since the end of an endpoint by a number that
-    stands for that endpoint and its start; `cleared_ms` those since the
-    suspect was last answered, None if it is not known to have been.
+    `crashes` gives the age in milliseconds of each crash by its id, which
+    stands for the endpoint and the start of its process; `cleared_ms` is the
+    time since the suspect was last answered, None if no answer is known.
     """
 
     digest: bytes
-    ends: dict[int, int]
+    crashes: dict[int, int]
     cleared_ms: int | None = None
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What follows for a request; times are monotonic seconds.
+    """How a request is restricted; times are monotonic seconds.
 
-    `crashes` is how many endpoints it is believed to have ended.  It may not
-    run until `refused_until`, should not begin before `not_before`, and
+    `crashes` is how many endpoints it is suspected of having crashed.  It is
+    refused until `refused_until` and should not start before `not_before`.
     `is_running` says that this router is running it already, so that its
-    outcome is about to be known.
+    outcome will soon be known.
     """
 
     crashes: int = 0
@@ -79,10 +80,10 @@
 
 
 class _Suspect(msgspec.Struct):
-    """`ends` gives monotonic seconds by number of the end."""
+    """`crashes` gives the monotonic time of each crash by its id."""
 
     changed_at: float
-    ends: dict[int, float] = {}
+    crashes: dict[int, float] = {}
     cleared_at: float = -1e9
 
 
@@ -95,10 +96,10 @@
         Endpoints at which this router runs suspects that have not been
         answered yet.
     local_changes, changes : int
-        Rise with each thing that this router found out itself, and with
-        each that it found out or was told.
+        Counters of the changes that this router found out itself, and of
+        all changes, including those received from others.
     evicted : int
-        Suspects that were dropped for want of room.
+        Suspects that were dropped because the table was full.
 
     Examples
     --------
@@ -117,38 +118,41 @@
         self.evicted = 0
 
     def crashed(self, digest, endpoint, started, now):
-        """Note that an endpoint ended while it had a request.
+        """Record that an endpoint crashed while it ran a request.
 
         Parameters
         ----------
         digest : bytes
         endpoint : str
         started : int
-            Tells its lifetimes under one id apart.
+            Distinguishes processes that used the same endpoint id.
         now : float
         """
-        suspect = self._of(digest, now)
-        number = zlib.crc32(f'{endpoint} {started}'.encode())
-        if number not in suspect.ends and len(suspect.ends) < MOST_KEPT:
-            suspect.ends[number] = now
-            self._changed(suspect, now)
+        suspect = self._get_or_add(digest, now)
+        crash_id = zlib.crc32(f'{endpoint} {started}'.encode())
+        if (
+            crash_id not in suspect.crashes
+            and len(suspect.crashes) < MAX_KEPT_CRASHES
+        ):
+            suspect.crashes[crash_id] = now
+            self._mark_changed(suspect, now)
             self.local_changes += 1
 
     def answered(self, digest, now):
-        """Note that an endpoint has answered a request, or begun to."""
+        """Record that an endpoint has answered a request, or begun to."""
         suspect = self.by_digest.get(digest)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.crashes:
             return
-        suspect.ends = {}
+        suspect.crashes = {}
         suspect.cleared_at = now
-        self._changed(suspect, now)
+        self._mark_changed(suspect, now)
         self.local_changes += 1
 
-    def _changed(self, suspect, now):
+    def _mark_changed(self, suspect, now):
         suspect.changed_at = now
         self.changes += 1
 
-    def _of(self, digest, now):
+    def _get_or_add(self, digest, now):
         suspect = self.by_digest.get(digest)
         if suspect is None:
             self._make_room(now)
@@ -156,26 +160,30 @@
         return suspect
 
     def _make_room(self, now):
-        """Drop what is old, and else what least is known against."""
-        if len(self.by_digest) < MOST_KNOWN:
+        """Drop expired suspects, or else the one with the least evidence."""
+        if len(self.by_digest) < MAX_SUSPECTS:
             return
         self.expire(now)
-        if len(self.by_digest) < MOST_KNOWN:
+        if len(self.by_digest) < MAX_SUSPECTS:
             return
         known = self.by_digest.items()
-        weakest = min(known, key=lambda e: (len(e[1].ends), e[1].changed_at))
+        weakest = min(
+            known, key=lambda e: (len(e[1].crashes), e[1].changed_at)
+        )
         del self.by_digest[weakest[0]]
         self.evicted += 1
 
     def expire(self, now):
-        """Forget suspects of which nothing was heard for long."""
+        """Drop suspects that have not changed for their time to live."""
         for digest, suspect in list(self.by_digest.items()):
-            limit = FORGOTTEN_AFTER if suspect.ends else CLEARED_FOR
-            if now - suspect.changed_at > limit:
+            ttl = (
+                SUSPECT_TTL_SECONDS if suspect.crashes else CLEARED_TTL_SECONDS
+            )
+            if now - suspect.changed_at > ttl:
                 del self.by_digest[digest]
 
     def verdict(self, digest, now):
-        """Give what follows for a request.
+        """Return how a request is restricted.
 
         Returns
         -------
@@ -184,35 +192,36 @@
         suspect = self.by_digest.get(digest)
         if suspect is None:
             return Verdict()
-        count = len(suspect.ends)
+        count = len(suspect.crashes)
         if not count or self._is_bystander(suspect):
             return Verdict()
-        last = max(suspect.ends.values())
+        last = max(suspect.crashes.values())
         is_running = digest in self.running
-        if count >= MAX_CRASHES and now < last + REFUSED_FOR:
-            return Verdict(count, refused_until=last + REFUSED_FOR)
+        if count >= MAX_CRASHES and now < last + REFUSAL_SECONDS:
+            return Verdict(count, refused_until=last + REFUSAL_SECONDS)
         not_before = 0.0
         if count >= MAX_CRASHES - 1:
-            # Two suspects that draw the same step now draw anew next time.
-            drawn = digest[count % len(digest)] if digest else 0
-            not_before = last + STEP * (drawn % STEPS)
+            # The byte depends on the count, so that two suspects with the
+            # same slot now are likely to get different ones next time.
+            slot = digest[count % len(digest)] if digest else 0
+            not_before = last + SLOT_SECONDS * (slot % SLOTS)
         return Verdict(count, not_before=not_before, is_running=is_running)
 
     def _is_bystander(self, suspect):
-        """Say whether another suspect saw the same ends, and more."""
-        mine = suspect.ends.keys()
-        return any(mine < o.ends.keys() for o in self.by_digest.values())
+        """Whether another suspect saw all the same crashes, and more."""
+        own = suspect.crashes.keys()
+        return any(own < o.crashes.keys() for o in self.by_digest.values())
 
     def mark_running(self, digest, endpoint):
-        """Note that this router sends a suspect to an endpoint."""
+        """Record that this router sends a suspect to an endpoint."""
         self.running[digest] = endpoint
 
     def mark_finished(self, digest):
-        """Note that its outcome there is known."""
+        """Record that the outcome of a suspect that was sent is known."""
         self.running.pop(digest, None)
 
     def endpoints_at_risk(self, digest):
-        """Give the endpoints that run other suspects of this router.
+        """Return the endpoints that run other suspects of this router.
 
         Returns
         -------
@@ -225,18 +234,19 @@
         }
 
     def updates_to_send(self, now, rng, old_share=1.0):
-        """Give what to tell other routers.
+        """Return the updates to send to other routers.
 
-        What is new is told by whoever hears of it, so that it reaches all;
-        of what is old, some, for routers that start or were cut off.
+        Changes are forwarded by each router that receives them, so that they
+        reach all.  A sample of unchanged suspects goes along for routers that
+        start or were disconnected.
 
         Parameters
         ----------
         now : float
         rng : random.Random
         old_share : float
-            How often what is old is told too: where many tell one router,
-            each need not do so each time.
+            Probability of including unchanged suspects: where many routers
+            send to one, not all have to include them each time.
 
         Returns
         -------
@@ -245,70 +255,70 @@
         self.expire(now)
         new, old = [], []
         for digest, suspect in self.by_digest.items():
-            if now - suspect.changed_at < TOLD_FOR:
+            if now - suspect.changed_at < NEW_SECONDS:
                 new.append((suspect.changed_at, digest))
-            elif len(suspect.ends) >= MAX_CRASHES - 1:
+            elif len(suspect.crashes) >= MAX_CRASHES - 1:
                 old.append(digest)
         new.sort(reverse=True)
-        told = [digest for _, digest in new[:MOST_NEW]]
+        chosen = [digest for _, digest in new[:MAX_NEW_SENT]]
         if rng.random() < old_share:
-            told += rng.sample(old, min(MOST_OLD, len(old)))
-        return [self._word(digest, now) for digest in told]
+            chosen += rng.sample(old, min(MAX_OLD_SENT, len(old)))
+        return [self._make_update(digest, now) for digest in chosen]
 
-    def _word(self, digest, now):
+    def _make_update(self, digest, now):
         suspect = self.by_digest[digest]
-        ends = {
-            number: int((now - at) * SECOND_MS)
-            for number, at in suspect.ends.items()
+        crashes = {
+            crash_id: int((now - at) * SECOND_MS)
+            for crash_id, at in suspect.crashes.items()
         }
         cleared_ms = None
-        if now - suspect.cleared_at < CLEARED_FOR:
+        if now - suspect.cleared_at < CLEARED_TTL_SECONDS:
             cleared_ms = int((now - suspect.cleared_at) * SECOND_MS)
-        return SuspectUpdate(digest, ends, cleared_ms)
+        return SuspectUpdate(digest, crashes, cleared_ms)
 
-    def receive_updates(self, words, now):
-        """Take what another router tells.
+    def receive_updates(self, updates, now):
+        """Merge the updates of another router.
 
         Parameters
         ----------
-        words : list of SuspectUpdate
+        updates : list of SuspectUpdate
         now : float
 
         Returns
         -------
         list of bytes
-            Digests of which something was new.
+            Digests of the suspects that changed.
         """
-        return [word.digest for word in words if self._take(word, now)]
+        return [each.digest for each in updates if self._merge(each, now)]
 
-    def _take(self, word, now):
+    def _merge(self, update, now):
         cleared_at = -1e9
-        if word.cleared_ms is not None:
-            cleared_at = now - word.cleared_ms / SECOND_MS
-        ends = {
-            number: now - age / SECOND_MS
-            for number, age in word.ends.items()
-            if 0 <= age <= FORGOTTEN_AFTER * SECOND_MS
+        if update.cleared_ms is not None:
+            cleared_at = now - update.cleared_ms / SECOND_MS
+        crashes = {
+            crash_id: now - age / SECOND_MS
+            for crash_id, age in update.crashes.items()
+            if 0 <= age <= SUSPECT_TTL_SECONDS * SECOND_MS
         }
-        if not ends and word.digest not in self.by_digest:
+        if not crashes and update.digest not in self.by_digest:
             return False
-        suspect = self._of(word.digest, now)
-        before = set(suspect.ends)
+        suspect = self._get_or_add(update.digest, now)
+        before = set(suspect.crashes)
         suspect.cleared_at = max(suspect.cleared_at, cleared_at)
-        for number, at in ends.items():
-            if len(suspect.ends) < MOST_KEPT:
-                suspect.ends.setdefault(number, at)
-        suspect.ends = {
-            number: at
-            for number, at in suspect.ends.items()
+        for crash_id, at in crashes.items():
+            if len(suspect.crashes) < MAX_KEPT_CRASHES:
+                suspect.crashes.setdefault(crash_id, at)
+        suspect.crashes = {
+            crash_id: at
+            for crash_id, at in suspect.crashes.items()
             if at > suspect.cleared_at
         }
-        if set(suspect.ends) == before:
+        if set(suspect.crashes) == before:
             return False
-        self._changed(suspect, now)
+        self._mark_changed(suspect, now)
         return True
 
 
 def make_suspects():
-    """Make `Suspects` of whom nobody is known."""
+    """Make an empty `Suspects`."""
     return Suspects()
--- a/packages/policy/ibisring_policy/gateway/tests/poisonload.py
+++ b/packages/policy/ibisring_policy/gateway/tests/poisonload.py
@@ -1,11 +1,11 @@
-"""A load with one request that ends its endpoints, played without a network.
+"""Simulates a load with one request that crashes its endpoints.
 
-Routers decide by their own `suspects.Suspects` and hear of each other's after
-a moment.  Requests that fail are sent on once, to another endpoint, and asked
-for once more by their callers.
+Each router decides by its own `suspects.Suspects` and receives the updates of
+the others with a delay.  A request that fails is retried once, at another
+endpoint, and submitted once more by its caller.
 """
 
-__all__ = ['Site', 'Outcome', 'play']
+__all__ = ['Site', 'Outcome', 'simulate']
 
 import heapq
 import itertools
@@ -14,142 +14,149 @@
 from ibisring_policy.gateway import suspects
 import msgspec
 
-BAD = b'bad-one!'
-# Seconds from a request's begin to its first answer, and to the end of the
-# endpoint that the bad one has begun to run on.
-ANSWERED_AFTER = 0.15
-ENDS_AFTER = 0.06
-BACK_AFTER = 3.0
-CALLER_RETRIES_AFTER = 0.5
-# What a router tells the others comes within so many seconds, or is lost.
-TOLD_WITHIN = 0.3
-TOLD_EVERY = 0.25
-MOST_SENT = 2
+POISON = b'bad-one!'
+# Seconds from the start of a request to its first answer, and from the start
+# of the poison request to the crash of its endpoint.
+ANSWER_SECONDS = 0.15
+CRASH_SECONDS = 0.06
+RESTART_SECONDS = 3.0
+CALLER_RETRY_SECONDS = 0.5
+# An update to another router arrives within this many seconds, or is lost.
+MAX_DELAY_SECONDS = 0.3
+UPDATE_INTERVAL_SECONDS = 0.25
+MAX_ATTEMPTS = 2
 
 
 class Site(msgspec.Struct, frozen=True):
     """`rate` is ordinary requests a second; times are in seconds.
 
-    `storms` are times at which a third of the endpoints ends by itself.
+    `mass_crashes` are times at which a third of the endpoints crashes for
+    another reason.
     """
 
     routers: int = 6
     endpoints: int = 3
     rate: float = 30.0
-    bad_every: float = 0.4
+    poison_interval: float = 0.4
     seconds: float = 15.0
     loss: float = 0.3
-    has_bad: bool = True
-    storms: tuple[float, ...] = ()
+    has_poison: bool = True
+    mass_crashes: tuple[float, ...] = ()
 
 
 class Outcome(msgspec.Struct):
-    """What callers and endpoints got."""
+    """Times of crashes and poison runs; counts are of ordinary requests."""
 
-    ends: list[float]
-    bad_runs: list[float]
+    crashes: list[float]
+    poison_runs: list[float]
     refused: int = 0
     waited: list[float] = []
     answered: int = 0
     sent: int = 0
 
-    def late_runs(self, contact):
-        """Give the bad runs that came so long after the third end."""
-        if len(self.ends) < suspects.MAX_CRASHES:
+    def late_runs(self, propagation):
+        """Return the poison runs that long after the last allowed crash."""
+        if len(self.crashes) < suspects.MAX_CRASHES:
             return []
-        since = self.ends[suspects.MAX_CRASHES - 1] + contact
-        return [at for at in self.bad_runs if at > since]
+        since = self.crashes[suspects.MAX_CRASHES - 1] + propagation
+        return [at for at in self.poison_runs if at > since]
 
 
 class _Request(msgspec.Struct):
     digest: bytes
     router: int
-    calls: int = 0
-    sent: int = 0
-    asked_at: float = 0.0
+    submissions: int = 0
+    attempts: int = 0
+    submitted_at: float = 0.0
     endpoint: int | None = None
-    avoid: set = set()
+    excluded: set = set()
 
 
-class _Play:
+class _Simulation:
     def __init__(self, site, seed):
         self.site = site
         self.rng = random.Random(seed)
         self.known = [suspects.make_suspects() for _ in range(site.routers)]
         self.changes = [0] * site.routers
-        self.born = [0] * site.endpoints
+        self.starts = [0] * site.endpoints
         self.up = [True] * site.endpoints
         self.queue = []
         self.numbers = itertools.count()
         self.running = [[] for _ in range(site.endpoints)]
         self.outcome = Outcome([], [])
 
-    def at(self, when, action, *args):
+    def schedule(self, when, action, *args):
         heapq.heappush(self.queue, (when, next(self.numbers), action, args))
 
     def run(self):
         site = self.site
-        if site.has_bad:
-            for number in range(int(site.seconds / site.bad_every)):
-                self.at(number * site.bad_every, self.ask, BAD)
+        if site.has_poison:
+            for number in range(int(site.seconds / site.poison_interval)):
+                self.schedule(
+                    number * site.poison_interval, self.submit, POISON
+                )
         now = 0.0
         while now < site.seconds:
             now += self.rng.expovariate(site.rate)
             digest = self.rng.randbytes(8)
-            self.at(now, self.ask, digest)
-        for storm in site.storms:
+            self.schedule(now, self.submit, digest)
+        for time in site.mass_crashes:
             for endpoint in range(0, site.endpoints, 3):
-                self.at(storm, self.end, endpoint)
+                self.schedule(time, self.crash, endpoint)
         for router in range(site.routers):
-            self.at(self.rng.random() * TOLD_EVERY, self.tell, router)
+            self.schedule(
+                self.rng.random() * UPDATE_INTERVAL_SECONDS,
+                self.send_updates,
+                router,
+            )
         while self.queue and self.queue[0][0] < site.seconds:
             when, _, action, args = heapq.heappop(self.queue)
             action(when, *args)
         return self.outcome
 
-    def ask(self, now, digest):
+    def submit(self, now, digest):
         router = self.rng.randrange(self.site.routers)
-        request = _Request(digest, router, calls=1, asked_at=now)
-        self.outcome.sent += digest != BAD
+        request = _Request(digest, router, submissions=1, submitted_at=now)
+        self.outcome.sent += digest != POISON
         self.send(now, request)
 
     def send(self, now, request):
         known = self.known[request.router]
         verdict = known.verdict(request.digest, now)
         if verdict.refused_until:
-            self.outcome.refused += request.digest != BAD
+            self.outcome.refused += request.digest != POISON
             return
         if now < verdict.not_before or verdict.is_running:
-            self.at(now + 0.02, self.send, request)
+            self.schedule(now + 0.02, self.send, request)
             return
-        if verdict.crashes and request.digest != BAD:
-            self.outcome.waited.append(now - request.asked_at)
-        endpoint = self.choose(known, request)
+        if verdict.crashes and request.digest != POISON:
+            self.outcome.waited.append(now - request.submitted_at)
+        endpoint = self.choose_endpoint(known, request)
         if endpoint is None:
             self.fail(now, request)
             return
         if verdict.crashes:
             known.mark_running(request.digest, f'e{endpoint}')
         request.endpoint = endpoint
-        request.sent += 1
+        request.attempts += 1
         self.running[endpoint].append(request)
-        if request.digest == BAD:
-            self.outcome.bad_runs.append(now)
-            self.at(now + ENDS_AFTER, self.end, endpoint)
+        if request.digest == POISON:
+            self.outcome.poison_runs.append(now)
+            self.schedule(now + CRASH_SECONDS, self.crash, endpoint)
         else:
-            self.at(now + ANSWERED_AFTER, self.answer, request)
+            self.schedule(now + ANSWER_SECONDS, self.answer, request)
 
-    def choose(self, known, request):
+    def choose_endpoint(self, known, request):
         at_risk = known.endpoints_at_risk(request.digest)
         up = [
             number
             for number, is_up in enumerate(self.up)
-            if is_up and number not in request.avoid
+            if is_up and number not in request.excluded
         ]
-        apart = [n for n in up if f'e{n}' not in at_risk]
+        safe = [n for n in up if f'e{n}' not in at_risk]
         if not up:
             return None
-        return self.rng.choice(apart or up)
+        return self.rng.choice(safe or up)
 
     def answer(self, now, request):
         if request not in self.running[request.endpoint]:
@@ -160,56 +167,62 @@
         known.answered(request.digest, now)
         self.outcome.answered += 1
 
-    def end(self, now, endpoint):
+    def crash(self, now, endpoint):
         if not self.up[endpoint]:
             return
-        self.outcome.ends.append(now)
+        self.outcome.crashes.append(now)
         self.up[endpoint] = False
         lost, self.running[endpoint] = self.running[endpoint], []
         for request in lost:
             known = self.known[request.router]
             known.mark_finished(request.digest)
-            name, born = f'e{endpoint}', self.born[endpoint]
-            known.crashed(request.digest, name, born, now)
-            request.avoid = request.avoid | {endpoint}
-            self.at(now, self.fail, request)
-        self.at(now + BACK_AFTER, self.begin_again, endpoint)
+            name, started = f'e{endpoint}', self.starts[endpoint]
+            known.crashed(request.digest, name, started, now)
+            request.excluded = request.excluded | {endpoint}
+            self.schedule(now, self.fail, request)
+        self.schedule(now + RESTART_SECONDS, self.restart, endpoint)
 
-    def begin_again(self, now, endpoint):
+    def restart(self, now, endpoint):
         self.up[endpoint] = True
-        self.born[endpoint] += 1
+        self.starts[endpoint] += 1
 
     def fail(self, now, request):
-        if request.sent < MOST_SENT and request.sent and any(self.up):
+        if (
+            request.attempts < MAX_ATTEMPTS
+            and request.attempts
+            and any(self.up)
+        ):
             self.send(now, request)
-        elif request.calls < 2 and request.digest != BAD:
+        elif request.submissions < 2 and request.digest != POISON:
             again = _Request(
                 request.digest,
                 self.rng.randrange(self.site.routers),
-                calls=2,
-                asked_at=now + CALLER_RETRIES_AFTER,
+                submissions=2,
+                submitted_at=now + CALLER_RETRY_SECONDS,
             )
-            self.at(now + CALLER_RETRIES_AFTER, self.send, again)
+            self.schedule(now + CALLER_RETRY_SECONDS, self.send, again)
 
-    def tell(self, now, router):
+    def send_updates(self, now, router):
         known = self.known[router]
-        words = known.updates_to_send(now, self.rng)
-        if words:
+        updates = known.updates_to_send(now, self.rng)
+        if updates:
             for other in range(self.site.routers):
                 if other != router and self.rng.random() > self.site.loss:
-                    after = self.rng.random() * TOLD_WITHIN
-                    self.at(now + after, self.hear, other, words)
-        self.at(now + TOLD_EVERY, self.tell, router)
+                    delay = self.rng.random() * MAX_DELAY_SECONDS
+                    self.schedule(
+                        now + delay, self.receive_updates, other, updates
+                    )
+        self.schedule(now + UPDATE_INTERVAL_SECONDS, self.send_updates, router)
 
-    def hear(self, now, router, words):
-        self.known[router].receive_updates(words, now)
+    def receive_updates(self, now, router, updates):
+        self.known[router].receive_updates(updates, now)
 
 
-def play(site, seed):
-    """Play a site.
+def simulate(site, seed):
+    """Simulate the load of a site.
 
     Returns
     -------
     Outcome
     """
-    return _Play(site, seed).run()
+    return _Simulation(site, seed).run()
