--- a/packages/policy/ibisring_policy/gateway/ratelimits.py
+++ b/packages/policy/ibisring_policy/gateway/ratelimits.py
@@ -1,10 +1,12 @@
-"""How much of an endpoint's limit this router may use.
-
-An endpoint in need names the rate of requests that it takes from all routers
-together.  It is divided among the failure domains that want it, and there
-among some of the routers that do, so few that each may send now and then.
-Nothing is agreed on: each router goes by what it has heard lately, and what
-the fleet sends while views differ is bounded by how little a share saves up.
+"""How much of an endpoint's rate limit this router may use.
+
+An overloaded endpoint declares the rate of requests that it accepts from all
+routers together.  The rate is divided equally among the failure domains with
+demand for the endpoint, and within one among a few of its routers with demand,
+so that each of these may send now and then.  There is no agreement protocol:
+each router decides by the updates it has received lately.  What the fleet
+sends beyond the limit while views differ is bounded, since a share accumulates
+for a moment only.
 """
 
 __all__ = ['Limits', 'LimitUpdate', 'make_limits']
@@ -14,65 +16,65 @@
 
 import msgspec
 
-# Share of a limit that is divided: what is sent while a share changes hands
-# is taken from the rest.
-DIVIDED = 0.9
-# Routers that share a limit, for each request a second of it.  Each may send
-# one request at once, so that this also bounds how many come together.
-SHARERS = 1.5
-# Seconds for which a router counts as wanting an endpoint after it last did.
-WANTED_FOR = 6.0
-# An endpoint that names less than this, in requests a second, is asked that
-# often all the same: nobody would learn otherwise that it takes more again.
-LEAST_RATE = 0.1
-# Seconds of a share that is not used at once and may be sent together.
-SAVED = 0.1
-# Bounds of a refused caller's time to return, in seconds.
-LEAST_RETRY = 0.1
-MOST_RETRY = 10.0
-# Seconds for which the recall of a limit is told.
-RECALLED_FOR = 30.0
-# Seconds for which a change of a limit is told each time.
-NEW_FOR = 2.0
-# Limits that are known at most, and told at once.
-MOST_KNOWN = 500
-MOST_TOLD = 24
+# Fraction of a limit that is divided; the rest covers what is sent while
+# shares move between routers.
+DIVIDED_FRACTION = 0.9
+# Routers that share a limit, for each request per second of it.  Each may send
+# one request at once, so that this also bounds the burst.
+SHARERS_PER_RATE = 1.5
+# How long a router counts as having demand after its last request.
+DEMAND_SECONDS = 6.0
+# An endpoint that declares less than this rate, in requests per second, still
+# gets this rate: otherwise no router would learn that it accepts more again.
+MIN_RATE = 0.1
+# Seconds of a share that may accumulate while it is not used.
+MAX_UNUSED_SECONDS = 0.1
+# Bounds of the time after which a refused caller is told to retry.
+MIN_RETRY_SECONDS = 0.1
+MAX_RETRY_SECONDS = 10.0
+# How long the removal of a limit is sent to others.
+REMOVAL_TTL_SECONDS = 30.0
+# How long a changed limit is part of every update.
+NEW_SECONDS = 2.0
+# Bounds on the limits that are kept, and on those in one update.
+MAX_LIMITS = 500
+MAX_SENT = 24
 SECOND_MS = 1000.0
 
 
 class LimitUpdate(msgspec.Struct, array_like=True):
-    """What a router tells of a limit.
+    """What a router sends to others about a limit.
 
-    `rate` is what the endpoint named, None that it named none any more;
-    `age_ms` are milliseconds since the request was sent whose answer said so,
-    `started` the start of the endpoint, `wanted_ms` milliseconds since the
-    router last wanted it, and `domain_ms` since some router of its failure
-    domain did, None if that is too long.
+    `rate` is what the endpoint declared, None if it no longer has a limit;
+    `age_ms` is the time since the request was sent whose answer declared it,
+    `started` the start of the endpoint, `demand_ms` the time since the router
+    last had demand, and `domain_demand_ms` since some router of its failure
+    domain had, None if that is too long ago.
     """
 
     rate: float | None
     age_ms: int
     started: int
-    wanted_ms: int | None = None
-    domain_ms: int | None = None
+    demand_ms: int | None = None
+    domain_demand_ms: int | None = None
 
 
 class _Limit(msgspec.Struct):
     """What is known of a limit; times are monotonic seconds.
 
-    `near` and `far` say when routers of the own failure domain, and other
-    failure domains, last wanted the endpoint.
+    `router_demand` and `domain_demand` give the last time of demand for the
+    endpoint, of routers of the own failure domain and of other domains.
     """
 
     rate: float | None
-    said_at: float
+    declared_at: float
     started: int
     next_at: float = 0.0
     share: float = 0.0
-    wanted_at: float = -1e9
+    demand_at: float = -1e9
     changed_at: float = 0.0
-    near: dict[str, float] = {}
-    far: dict[str, float] = {}
+    router_demand: dict[str, float] = {}
+    domain_demand: dict[str, float] = {}
 
 
 class Limits:
@@ -86,7 +88,7 @@
     Attributes
     ----------
     changes : int
-        Rises with each change of what some endpoint names.
+        Counter of the changes of declared limits.
 
     Examples
     --------
@@ -108,34 +110,34 @@
         self.changes = 0
 
     def record_rate(self, endpoint, started, rate, sent_at, now):
-        """Note what an endpoint has named, or that it named nothing.
+        """Record the limit that an endpoint declared, or that it has none.
 
-        An answer says nothing against one to a request that was sent later:
-        it may have been under way for long.
+        An answer that may have been delayed does not override the answer to a
+        request that was sent later.
 
         Parameters
         ----------
         endpoint : str
         started : int
-            Tells its lifetimes under one id apart.
+            Distinguishes processes that used the same endpoint id.
         rate : float or None
-            Requests a second.
+            Requests per second.
         sent_at, now : float
 
         Returns
         -------
         bool
-            Whether that is new.
+            Whether the limit changed.
         """
         limit = self.by_endpoint.get(endpoint)
         if limit is None:
-            if rate is None or len(self.by_endpoint) >= MOST_KNOWN:
+            if rate is None or len(self.by_endpoint) >= MAX_LIMITS:
                 return False
             limit = _Limit(None, sent_at, started)
             self.by_endpoint[endpoint] = limit
-        elif sent_at < limit.said_at:
+        elif sent_at < limit.declared_at:
             return False
-        limit.said_at = sent_at
+        limit.declared_at = sent_at
         limit.started = started
         if limit.rate == rate:
             return False
@@ -145,24 +147,24 @@
         return True
 
     def record_start(self, endpoint, started):
-        """Forget what an endpoint named in an earlier lifetime."""
+        """Drop a limit that was declared before an endpoint's last start."""
         limit = self.by_endpoint.get(endpoint)
         if limit is not None and limit.started != started:
             del self.by_endpoint[endpoint]
             self.changes += 1
 
     def keep_only(self, names):
-        """Forget endpoints that are gone."""
+        """Drop the limits of all other endpoints."""
         for name in [n for n in self.by_endpoint if n not in names]:
             del self.by_endpoint[name]
 
     def rate(self, endpoint):
-        """Give the rate that an endpoint names, None without one."""
+        """Return the rate that an endpoint declared, None without a limit."""
         limit = self.by_endpoint.get(endpoint)
         return None if limit is None else limit.rate
 
     def wait(self, endpoint, now):
-        """Give the seconds until this router may send to an endpoint.
+        """Return the seconds until this router may send to an endpoint.
 
         Returns
         -------
@@ -172,166 +174,181 @@
         limit = self.by_endpoint.get(endpoint)
         if limit is None or limit.rate is None:
             return 0.0
-        self._divide(endpoint, limit, now)
+        self._update_share(endpoint, limit, now)
         if not limit.share:
             return math.inf
         return max(0.0, limit.next_at - now)
 
-    def acquire(self, endpoint, now, patience):
-        """Take the right to send one request to an endpoint.
+    def acquire(self, endpoint, now, max_wait):
+        """Reserve the sending of one request to an endpoint.
 
         Parameters
         ----------
         endpoint : str
         now : float
-        patience : float
-            Seconds that the request may wait for its turn.
+        max_wait : float
+            Seconds that the request may be delayed.
 
         Returns
         -------
         float or None
-            Seconds to wait before sending it; None if it may not go there.
+            Seconds to wait before sending it; None if it may not be sent.
         """
         limit = self.by_endpoint.get(endpoint)
         if limit is None or limit.rate is None:
             return 0.0
-        limit.wanted_at = now
+        limit.demand_at = now
         wait = self.wait(endpoint, now)
-        if wait > patience:
+        if wait > max_wait:
             return None
-        # What was not used is saved for a moment only, however long ago: a
-        # router that stood still has nothing to catch up.
-        limit.next_at = max(limit.next_at, now - SAVED) + 1.0 / limit.share
+        # However long the share was unused, little of it accumulates, so that
+        # a router does not send a burst after a freeze.
+        limit.next_at = (
+            max(limit.next_at, now - MAX_UNUSED_SECONDS) + 1.0 / limit.share
+        )
         return wait
 
-    def _divide(self, endpoint, limit, now):
-        """Work out this router's share, in requests a second."""
-        share = self._share(endpoint, limit, now)
+    def _update_share(self, endpoint, limit, now):
+        """Recompute this router's share, in requests per second."""
+        share = self._compute_share(endpoint, limit, now)
         if share == limit.share:
             return
         if not limit.share and share:
-            # Others may have used this share until now.  Routers that begin
-            # together begin at different times.
-            drawn = _draw(endpoint, self.name)
-            limit.next_at = now + drawn / share
+            # Others may have used this share until now.  The hash spreads the
+            # first requests of routers that get a share at the same time.
+            offset = _hash_fraction(endpoint, self.name)
+            limit.next_at = now + offset / share
         elif share:
             limit.next_at = min(limit.next_at, now + 1.0 / share)
         limit.share = share
 
-    def _share(self, endpoint, limit, now):
-        rate = DIVIDED * max(limit.rate, LEAST_RATE)
+    def _compute_share(self, endpoint, limit, now):
+        rate = DIVIDED_FRACTION * max(limit.rate, MIN_RATE)
         domains = 1 + sum(
-            1 for at in limit.far.values() if now - at < WANTED_FOR
+            1
+            for at in limit.domain_demand.values()
+            if now - at < DEMAND_SECONDS
         )
-        near = [
+        routers = [
             name
-            for name, at in limit.near.items()
-            if now - at < WANTED_FOR and name != self.name
+            for name, at in limit.router_demand.items()
+            if now - at < DEMAND_SECONDS and name != self.name
         ]
-        near.append(self.name)
-        most = math.ceil(SHARERS * limit.rate / domains)
-        sharers = sorted(near, key=lambda name: _draw(endpoint, name))
-        sharers = sharers[: max(1, most)]
+        routers.append(self.name)
+        max_sharers = math.ceil(SHARERS_PER_RATE * limit.rate / domains)
+        sharers = sorted(
+            routers, key=lambda name: _hash_fraction(endpoint, name)
+        )
+        sharers = sharers[: max(1, max_sharers)]
         if self.name not in sharers:
             return 0.0
         return rate / domains / len(sharers)
 
     def retry_after(self, endpoints, refused, now, draw):
-        """Give the seconds after which a refused request may find room.
+        """Return the seconds after which a refused caller should retry.
 
-        Those refused a moment ago come back too; they are spread over the
-        time in which the endpoints take as many.
+        Callers that were refused lately retry too; the retries are spread
+        over the time in which the endpoints accept as many requests.
 
         Parameters
         ----------
         endpoints : collection of str
-            Those that could have taken it.
+            Those that could have served the request.
         refused : int
-            Requests that were refused a moment ago.
+            Requests that were refused lately.
         now : float
         draw : float
-            Random, from 0 up to, without, 1.
+            Random number from the interval [0, 1).
         """
         share = 0.0
-        soonest = MOST_RETRY
+        min_wait = MAX_RETRY_SECONDS
         for name in endpoints:
             limit = self.by_endpoint.get(name)
             if limit is None or limit.rate is None:
                 continue
             wait = self.wait(name, now)
             share += limit.share
-            soonest = min(soonest, wait)
+            min_wait = min(min_wait, wait)
         if not share:
-            # This router has no share; the caller may reach one that has.
+            # This router has no share; the retry may reach one that has.
             rates = [self.rate(name) or 0.0 for name in endpoints]
-            share = max(LEAST_RATE, sum(rates))
-            soonest = 0.0
+            share = max(MIN_RATE, sum(rates))
+            min_wait = 0.0
         spread = (1 + refused) / share
-        found = soonest + draw * spread
-        return min(MOST_RETRY, max(LEAST_RETRY, found)) + draw * LEAST_RETRY
+        delay = min_wait + draw * spread
+        return (
+            min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, delay))
+            + draw * MIN_RETRY_SECONDS
+        )
 
     def updates_to_send(self, now, rng, old_share=1.0):
-        """Give what to tell other routers, by endpoint.
+        """Return the updates to send to other routers, by endpoint.
 
         Parameters
         ----------
         now : float
         rng : random.Random
         old_share : float
-            How often limits are told that are not new, and that this router
-            does not want.
+            Probability of including unchanged limits for which this router
+            has no demand.
 
         Returns
         -------
         dict of str to LimitUpdate
         """
-        self._forget_recalled(now)
-        tells_all = rng.random() < old_share
+        self._expire_removed(now)
+        includes_all = rng.random() < old_share
         known = [
             (name, limit)
             for name, limit in self.by_endpoint.items()
-            if tells_all
-            or now - limit.changed_at < NEW_FOR
-            or now - limit.wanted_at < WANTED_FOR
+            if includes_all
+            or now - limit.changed_at < NEW_SECONDS
+            or now - limit.demand_at < DEMAND_SECONDS
         ]
         known.sort(key=lambda item: -item[1].changed_at)
         return {
-            name: self._word(limit, now) for name, limit in known[:MOST_TOLD]
+            name: self._make_update(limit, now)
+            for name, limit in known[:MAX_SENT]
         }
 
-    def _forget_recalled(self, now):
-        """Forget limits whose recall has reached all routers by now."""
+    def _expire_removed(self, now):
+        """Drop removed limits once their removal has reached all routers."""
         for name, limit in list(self.by_endpoint.items()):
-            is_old = now - limit.changed_at > RECALLED_FOR
+            is_old = now - limit.changed_at > REMOVAL_TTL_SECONDS
             if limit.rate is None and is_old:
                 del self.by_endpoint[name]
 
-    def _word(self, limit, now):
-        wanted_at = [limit.wanted_at, *limit.near.values()]
+    def _make_update(self, limit, now):
+        demand_times = [limit.demand_at, *limit.router_demand.values()]
         return LimitUpdate(
             limit.rate,
-            int((now - limit.said_at) * SECOND_MS),
+            int((now - limit.declared_at) * SECOND_MS),
             limit.started,
-            _age_ms(limit.wanted_at, now),
-            _age_ms(max(wanted_at), now),
+            _age_ms(limit.demand_at, now),
+            _age_ms(max(demand_times), now),
         )
 
     def endpoints_in_demand(self, now):
-        """Give the endpoints with limits that this router wanted lately."""
+        """Return the endpoints with limits for which this router has demand.
+
+        Returns
+        -------
+        list of str
+        """
         return [
             name
             for name, limit in self.by_endpoint.items()
-            if now - limit.wanted_at < WANTED_FOR
+            if now - limit.demand_at < DEMAND_SECONDS
         ]
 
-    def receive_updates(self, router, domain, words, now, starts):
-        """Take what another router tells.
+    def receive_updates(self, router, domain, updates, now, starts):
+        """Merge the updates of another router.
 
         Parameters
         ----------
         router, domain : str
             Its name and failure domain.
-        words : dict of str to LimitUpdate
+        updates : dict of str to LimitUpdate
         now : float
         starts : dict of str to int
             When endpoints started, as far as this router knows.
@@ -339,54 +356,59 @@
         Returns
         -------
         list of str
-            Endpoints that name something new.
+            Endpoints whose limits changed.
         """
-        news = []
-        for name, word in words.items():
-            if word.age_ms < 0 or not _is_rate(word.rate):
+        changed = []
+        for name, update in updates.items():
+            if update.age_ms < 0 or not _is_valid_rate(update.rate):
                 continue
-            if word.started != starts.get(name, word.started):
-                # Named by one of the two in another lifetime.
+            if update.started != starts.get(name, update.started):
+                # The two routers know different starts of the endpoint.
                 continue
-            if word.rate != self.rate(name):
-                # The same said again is not taken: at each hop it would look
-                # younger by the hop's delay, and outlast its recall.
-                said_at = now - word.age_ms / SECOND_MS
+            if update.rate != self.rate(name):
+                # A known rate is not recorded again: each hop would make it
+                # look younger by the hop's delay, so that it would outlast
+                # its removal.
+                declared_at = now - update.age_ms / SECOND_MS
                 if self.record_rate(
-                    name, word.started, word.rate, said_at, now
+                    name, update.started, update.rate, declared_at, now
                 ):
-                    news.append(name)
+                    changed.append(name)
             limit = self.by_endpoint.get(name)
             if limit is None:
                 continue
             if domain == self.domain:
-                _note(limit.near, router, word.wanted_ms, now)
+                _record_demand(
+                    limit.router_demand, router, update.demand_ms, now
+                )
             else:
-                _note(limit.far, domain, word.domain_ms, now)
-        return news
+                _record_demand(
+                    limit.domain_demand, domain, update.domain_demand_ms, now
+                )
+        return changed
 
 
-def _is_rate(rate):
+def _is_valid_rate(rate):
     return rate is None or (math.isfinite(rate) and rate > 0)
 
 
-def _note(times, name, age_ms, now):
+def _record_demand(times, name, age_ms, now):
     if age_ms is not None and age_ms >= 0:
         at = now - age_ms / SECOND_MS
         times[name] = max(at, times.get(name, at))
 
 
 def _age_ms(at, now):
-    """Give the milliseconds since a time, None if it was long ago."""
+    """Return the age of demand in milliseconds, None if it has expired."""
     age = now - at
-    return int(age * SECOND_MS) if age < WANTED_FOR else None
+    return int(age * SECOND_MS) if age < DEMAND_SECONDS else None
 
 
-def _draw(endpoint, router):
-    """Give a number from 0 up to 1 that all routers agree on."""
+def _hash_fraction(endpoint, router):
+    """Return a number in [0, 1) that is the same at all routers."""
     return zlib.crc32(f'{endpoint} {router}'.encode()) / 2.0**32
 
 
 def make_limits(name, domain):
-    """Make `Limits` of a router that knows none."""
+    """Make `Limits` of a router that knows of no limit."""
     return Limits(name, domain)
--- a/packages/policy/ibisring_policy/gateway/tests/limitload.py
+++ b/packages/policy/ibisring_policy/gateway/tests/limitload.py
@@ -1,10 +1,10 @@
-"""Routers that send to one endpoint with a limit, without a network.
+"""Simulates routers that send to one endpoint with a rate limit.
 
-Each decides by its own `ratelimits.Limits` and tells some of the others what
-it knows, as routers do: those of its failure domain in turn, a few beyond.
+Each router decides by its own `ratelimits.Limits` and sends updates to some of
+the others: to those of its failure domain in turn, to a few of other domains.
 """
 
-__all__ = ['Site', 'Outcome', 'play', 'max_in_window']
+__all__ = ['Site', 'Outcome', 'simulate', 'max_in_window']
 
 import heapq
 import itertools
@@ -14,26 +14,27 @@
 import msgspec
 
 NAME = 'e1'
-TICK = 0.25
-FAR_AT_ONCE = 2
-# Ticks in which each router of the own failure domain is told once.
-ROUND = 3
-SMALL = 7
-# Routers that tell another one what is old, each time.
-TELLERS = 3.0
+UPDATE_INTERVAL_SECONDS = 0.25
+FAR_PEERS_PER_UPDATE = 2
+# Updates in which each router of the own failure domain is reached once.
+ROTATION_UPDATES = 3
+# A router with fewer peers than this sends each update to all of them.
+SMALL_FLEET = 7
+# Average number of routers that send unchanged limits to another one.
+OLD_UPDATE_SENDERS = 3.0
 
 
 class Site(msgspec.Struct, frozen=True):
     """`demand` is requests a second of each router; times are in seconds.
 
-    Only routers of the first `wanting` failure domains want the endpoint.
-    `late` routers get no requests before `late_at`; `frozen` ones stand still
-    from then for two seconds.
+    Only routers of the first `demanding` failure domains have demand for the
+    endpoint.  `late` routers get no requests before `late_at`; `frozen` ones
+    are suspended for two seconds from then on.
     """
 
     routers: int = 6
     domains: int = 3
-    wanting: int = 3
+    demanding: int = 3
     rate: float = 1.0
     demand: float = 5.0
     seconds: float = 25.0
@@ -44,24 +45,24 @@
 
 
 class Outcome(msgspec.Struct):
-    """`sent` are the times of all sendings, by router in `by_router`."""
+    """`sent` are the times of all requests, `by_router` those by router."""
 
     sent: list[float]
     by_router: dict[int, list[float]]
 
 
 def max_in_window(times, seconds, since):
-    """Give the most of some times that lie within a window."""
+    """Return the largest number of times, from `since` on, in a window."""
     times = sorted(at for at in times if at >= since)
-    most, first = 0, 0
+    largest, first = 0, 0
     for last, at in enumerate(times):
         while times[first] < at - seconds:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        largest = max(largest, last - first + 1)
+    return largest
 
 
-class _Play:
+class _Simulation:
     def __init__(self, site, seed):
         self.site = site
         self.rng = random.Random(seed)
@@ -73,34 +74,38 @@
         self.outcome = Outcome([], {})
         self.queue = []
         self.numbers = itertools.count()
-        self.ticks = [0] * site.routers
+        self.updates_sent = [0] * site.routers
 
-    def at(self, when, action, *args):
+    def schedule(self, when, action, *args):
         heapq.heappush(self.queue, (when, next(self.numbers), action, args))
 
     def run(self):
         site = self.site
         for router in range(site.routers):
-            self.at(self.rng.random() * TICK, self.tell, router)
-            if int(self.domain[router][1:]) < site.wanting:
+            self.schedule(
+                self.rng.random() * UPDATE_INTERVAL_SECONDS,
+                self.send_updates,
+                router,
+            )
+            if int(self.domain[router][1:]) < site.demanding:
                 is_late = router < site.late
-                begins = site.late_at if is_late else 0.0
-                self.at(begins + self.gap(), self.ask, router)
+                start = site.late_at if is_late else 0.0
+                self.schedule(start + self.draw_gap(), self.send, router)
         while self.queue and self.queue[0][0] < site.seconds:
             when, _, action, args = heapq.heappop(self.queue)
             action(when, *args)
         return self.outcome
 
-    def gap(self):
+    def draw_gap(self):
         return self.rng.expovariate(self.site.demand)
 
     def is_frozen(self, router, now):
         site = self.site
-        passed = now - site.late_at
-        return router < site.frozen and 0.0 <= passed < 2.0
+        elapsed = now - site.late_at
+        return router < site.frozen and 0.0 <= elapsed < 2.0
 
-    def ask(self, now, router):
-        self.at(now + self.gap(), self.ask, router)
+    def send(self, now, router):
+        self.schedule(now + self.draw_gap(), self.send, router)
         if self.is_frozen(router, now):
             return
         limits = self.limits[router]
@@ -108,47 +113,51 @@
             return
         self.outcome.sent.append(now)
         self.outcome.by_router.setdefault(router, []).append(now)
-        self.at(now + 0.02, self.answer, router, now)
+        self.schedule(now + 0.02, self.answer, router, now)
 
     def answer(self, now, router, sent_at):
         self.limits[router].record_rate(NAME, 1, self.site.rate, sent_at, now)
 
-    def tell(self, now, router):
-        self.at(now + TICK, self.tell, router)
+    def send_updates(self, now, router):
+        self.schedule(now + UPDATE_INTERVAL_SECONDS, self.send_updates, router)
         if self.is_frozen(router, now):
             return
-        self.ticks[router] += 1
-        others = self.whom(router)
-        share = min(1.0, TELLERS / len(others))
-        words = self.limits[router].updates_to_send(now, self.rng, share)
+        self.updates_sent[router] += 1
+        others = self.choose_peers(router)
+        old_share = min(1.0, OLD_UPDATE_SENDERS / len(others))
+        updates = self.limits[router].updates_to_send(now, self.rng, old_share)
         for other in others:
-            if words and self.rng.random() > self.site.loss:
-                after = 0.005 + 0.02 * self.rng.random()
-                self.at(now + after, self.hear, other, router, words)
+            if updates and self.rng.random() > self.site.loss:
+                delay = 0.005 + 0.02 * self.rng.random()
+                self.schedule(
+                    now + delay, self.receive_updates, other, router, updates
+                )
 
-    def whom(self, router):
+    def choose_peers(self, router):
         others = [n for n in range(self.site.routers) if n != router]
-        if len(others) < SMALL:
+        if len(others) < SMALL_FLEET:
             return others
         own = self.domain[router]
         near = [n for n in others if self.domain[n] == own]
         far = [n for n in others if self.domain[n] != own]
-        turn = self.ticks[router] % ROUND
-        return near[turn::ROUND] + self.rng.sample(far, FAR_AT_ONCE)
+        part = self.updates_sent[router] % ROTATION_UPDATES
+        return near[part::ROTATION_UPDATES] + self.rng.sample(
+            far, FAR_PEERS_PER_UPDATE
+        )
 
-    def hear(self, now, router, teller, words):
+    def receive_updates(self, now, router, sender, updates):
         if self.is_frozen(router, now):
             return
         self.limits[router].receive_updates(
-            f'r{teller}', self.domain[teller], words, now, {NAME: 1}
+            f'r{sender}', self.domain[sender], updates, now, {NAME: 1}
         )
 
 
-def play(site, seed):
-    """Play a site.
+def simulate(site, seed):
+    """Simulate the load of a site.
 
     Returns
     -------
     Outcome
     """
-    return _Play(site, seed).run()
+    return _Simulation(site, seed).run()
--- a/packages/policy/ibisring_policy/gateway/tests/test_ratelimits.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Tests of how routers share what an endpoint takes."""
+"""Tests of how routers share the rate limit of an endpoint."""
 
 import math
 import random
@@ -9,13 +9,13 @@
 
 Site = limitload.Site
 LimitUpdate = ratelimits.LimitUpdate
-# The bound: so many times what the limit allows in a window of seconds, and
-# some requests more, from when all routers can know it.
-TIMES = 1.5
-EXTRA = 5
-WINDOW = 4.0
-CONTACT = 3.0
-USED = 0.5
+# The fleet may send this many times what the limit allows in a window, and
+# some requests more, once the limit has reached all routers.
+MAX_EXCESS_FACTOR = 1.5
+EXTRA_REQUESTS = 5
+WINDOW_SECONDS = 4.0
+PROPAGATION_SECONDS = 3.0
+MIN_USED_FRACTION = 0.5
 
 
 def _limits(rate=1.0, at=10.0, name='r1'):
@@ -24,8 +24,8 @@
     return limits
 
 
-def _sent(limits, begin, end, step=0.01):
-    """Give when a router sends that would at every step."""
+def _send_times(limits, begin, end, step=0.01):
+    """Return when a router sends that tries to at every step."""
     sent, now = [], begin
     while now < end:
         if limits.acquire('e1', now, 0.0) is not None:
@@ -34,79 +34,80 @@
     return sent
 
 
-def _tell(limits, now, router, domain='a', wanted=True):
-    age = 0 if wanted else None
-    word = LimitUpdate(limits.rate('e1'), 0, 1, age, age)
-    limits.receive_updates(router, domain, {'e1': word}, now, {'e1': 1})
+def _receive(limits, now, router, domain='a', has_demand=True):
+    """Have a router receive the known limit from another one."""
+    age = 0 if has_demand else None
+    update = LimitUpdate(limits.rate('e1'), 0, 1, age, age)
+    limits.receive_updates(router, domain, {'e1': update}, now, {'e1': 1})
 
 
-def test_without_a_limit_everything_may_go():
+def test_without_a_limit_all_requests_may_be_sent():
     limits = ratelimits.make_limits('r1', 'a')
     assert [limits.acquire('e1', 1.0, 0.0) for _ in range(9)] == [0.0] * 9
 
 
 def test_one_router_keeps_to_the_rate():
-    sent = _sent(_limits(rate=2.0), 10.0, 30.0)
+    sent = _send_times(_limits(rate=2.0), 10.0, 30.0)
     assert 30 <= len(sent) <= 40
 
 
-def test_what_was_not_used_is_not_saved_up():
-    """Failure: a router that stood still sends all that it missed."""
+def test_an_unused_share_does_not_accumulate():
+    """Failure: a router sends a burst after it was suspended."""
     limits = _limits(rate=2.0)
     limits.acquire('e1', 10.0, 0.0)
-    assert len(_sent(limits, 60.0, 60.5)) <= 2
+    assert len(_send_times(limits, 60.0, 60.5)) <= 2
 
 
-def test_a_share_that_is_new_begins_empty():
+def test_a_new_share_starts_empty():
     """Failure: each of many routers sends one request at the same moment."""
-    begun = [
+    waits = [
         _limits(rate=0.5, name=f'r{n}').acquire('e1', 10.0, 0.0)
         for n in range(40)
     ]
-    assert begun == [None] * 40
+    assert waits == [None] * 40
 
 
-def test_a_later_answer_without_a_limit_ends_it():
+def test_a_later_answer_without_a_limit_removes_it():
     limits = _limits()
     assert limits.record_rate('e1', 1, None, 11.0, 11.1)
     assert limits.wait('e1', 11.1) == 0.0
 
 
-def test_an_answer_that_was_under_way_ends_no_limit():
+def test_the_answer_to_an_earlier_request_removes_no_limit():
     limits = _limits(at=10.0)
     assert not limits.record_rate('e1', 1, None, 9.0, 12.0)
     assert limits.rate('e1') == 1.0
 
 
-def test_another_figure_replaces_the_first():
+def test_a_later_rate_replaces_the_earlier_one():
     limits = _limits(rate=0.1)
     limits.acquire('e1', 20.0, 0.0)
     limits.record_rate('e1', 1, 10.0, 21.0, 21.0)
-    assert len(_sent(limits, 21.0, 22.0)) >= 8
+    assert len(_send_times(limits, 21.0, 22.0)) >= 8
 
 
-def test_one_that_takes_next_to_nothing_is_asked_now_and_then():
-    """Failure: a limit that was recalled is kept for ever, as nobody asks."""
+def test_an_endpoint_with_a_tiny_rate_still_gets_some_requests():
+    """Failure: a limit is kept forever, as no request shows its removal."""
     limits = _limits(rate=1e-6)
-    sent = _sent(limits, 10.0, 60.0, step=0.1)
+    sent = _send_times(limits, 10.0, 60.0, step=0.1)
     assert 3 <= len(sent) <= 5
 
 
-def test_a_restart_begins_anew():
+def test_a_restart_removes_the_limit():
     limits = _limits()
     limits.record_start('e1', 2)
     assert limits.rate('e1') is None
 
 
-def test_word_of_an_earlier_lifetime_is_not_believed():
+def test_updates_about_an_earlier_start_are_ignored():
     limits = ratelimits.make_limits('r1', 'a')
-    words = {'e1': LimitUpdate(1.0, 5, 1)}
-    assert limits.receive_updates('r2', 'a', words, 10.0, {'e1': 2}) == []
+    updates = {'e1': LimitUpdate(1.0, 5, 1)}
+    assert limits.receive_updates('r2', 'a', updates, 10.0, {'e1': 2}) == []
     assert limits.rate('e1') is None
 
 
 @pytest.mark.parametrize('rate', [math.nan, math.inf, -1.0, 0.0])
-def test_damaged_word_does_no_harm(rate):
+def test_invalid_updates_are_ignored(rate):
     limits = ratelimits.make_limits('r1', 'a')
     limits.receive_updates(
         'r2', 'a', {'e1': LimitUpdate(rate, 5, 1)}, 10.0, {}
@@ -117,41 +118,45 @@
     assert not limits.by_endpoint
 
 
-def test_an_old_word_does_not_bring_a_limit_back():
-    """Failure: routers tell each other of a limit for ever."""
+def test_an_old_update_does_not_restore_a_limit():
+    """Failure: routers send each other a removed limit forever."""
     limits = _limits(at=10.0)
-    words = limits.updates_to_send(10.5, random.Random(1))
+    updates = limits.updates_to_send(10.5, random.Random(1))
     limits.record_rate('e1', 1, None, 11.0, 11.0)
-    limits.receive_updates('r2', 'a', words, 11.0, {'e1': 1})
+    limits.receive_updates('r2', 'a', updates, 11.0, {'e1': 1})
     assert limits.rate('e1') is None
 
 
-def test_a_huge_limit_holds_nobody_back():
+def test_a_huge_limit_delays_no_request():
     limits = _limits(rate=999999999.0)
-    assert len(_sent(limits, 11.0, 12.0)) == len(range(100))
+    assert len(_send_times(limits, 11.0, 12.0)) == len(range(100))
 
 
-def test_routers_that_want_it_share_it():
-    alone = len(_sent(_limits(rate=8.0), 12.0, 22.0))
+def test_routers_with_demand_share_a_limit():
+    alone = len(_send_times(_limits(rate=8.0), 12.0, 22.0))
     limits = _limits(rate=8.0)
     for number in range(2, 5):
-        _tell(limits, 11.9, f'r{number}')
-    assert len(_sent(limits, 12.0, 17.0)) == pytest.approx(alone / 8, abs=2)
+        _receive(limits, 11.9, f'r{number}')
+    assert len(_send_times(limits, 12.0, 17.0)) == pytest.approx(
+        alone / 8, abs=2
+    )
 
 
-def test_a_router_that_does_not_want_it_takes_no_share():
+def test_a_router_without_demand_gets_no_share():
     limits = _limits(rate=8.0)
-    alone = len(_sent(_limits(rate=8.0), 12.0, 17.0))
+    alone = len(_send_times(_limits(rate=8.0), 12.0, 17.0))
     for number in range(2, 5):
-        _tell(limits, 11.9, f'r{number}', wanted=False)
-    assert len(_sent(limits, 12.0, 17.0)) == alone
+        _receive(limits, 11.9, f'r{number}', has_demand=False)
+    assert len(_send_times(limits, 12.0, 17.0)) == alone
 
 
-def test_failure_domains_share_it():
+def test_failure_domains_share_a_limit():
     limits = _limits(rate=8.0)
-    alone = len(_sent(_limits(rate=8.0), 12.0, 17.0))
-    _tell(limits, 11.9, 'r7', 'b')
-    assert len(_sent(limits, 12.0, 17.0)) == pytest.approx(alone / 2, abs=2)
+    alone = len(_send_times(_limits(rate=8.0), 12.0, 17.0))
+    _receive(limits, 11.9, 'r7', 'b')
+    assert len(_send_times(limits, 12.0, 17.0)) == pytest.approx(
+        alone / 2, abs=2
+    )
 
 
 def test_few_of_many_routers_share_a_small_limit():
@@ -162,12 +167,12 @@
         limits = _limits(name=name)
         for other in names:
             if other != name:
-                _tell(limits, 11.0, other)
+                _receive(limits, 11.0, other)
         sharers += limits.wait('e1', 11.0) < math.inf
-    assert sharers == math.ceil(ratelimits.SHARERS)
+    assert sharers == math.ceil(ratelimits.SHARERS_PER_RATE)
 
 
-def test_a_request_may_wait_for_its_turn():
+def test_a_request_may_be_delayed_for_its_share():
     limits = _limits(rate=10.0)
     limits.acquire('e1', 12.0, 0.0)
     limits.acquire('e1', 12.0, 0.0)
@@ -175,7 +180,7 @@
     assert 0.0 < limits.acquire('e1', 12.0, 0.2) <= 0.2
 
 
-def test_those_refused_come_back_at_different_times():
+def test_retries_of_refused_callers_are_spread():
     limits = _limits(rate=4.0)
     times = []
     for number in range(20):
@@ -185,43 +190,43 @@
     assert max(times) > 2.0 and min(times) > 0.0
 
 
-def test_a_router_without_a_share_names_a_time_too():
+def test_a_router_without_a_share_gives_a_retry_time():
     limits = _limits()
     for number in range(40):
-        _tell(limits, 11.0, f'x{number}')
+        _receive(limits, 11.0, f'x{number}')
     assert limits.wait('e1', 11.0) == math.inf
     assert 0.0 < limits.retry_after(['e1'], 0, 11.0, 0.5) < 10.0
 
 
-def test_a_recall_is_told_for_a_while():
+def test_the_removal_of_a_limit_is_sent_until_it_expires():
     limits = _limits(at=10.0)
     limits.record_rate('e1', 1, None, 11.0, 11.0)
     assert limits.updates_to_send(12.0, random.Random(1))['e1'].rate is None
-    later = 12.0 + ratelimits.RECALLED_FOR
+    later = 12.0 + ratelimits.REMOVAL_TTL_SECONDS
     assert not limits.updates_to_send(later, random.Random(1))
 
 
-def test_what_is_old_and_not_wanted_is_told_seldom():
+def test_unchanged_limits_without_demand_are_sent_seldom():
     limits = _limits(at=10.0)
     rng = random.Random(1)
     assert limits.updates_to_send(10.5, rng, 0.0)
     assert not limits.updates_to_send(20.0, rng, 0.0)
-    told = sum(
+    sent = sum(
         bool(limits.updates_to_send(20.0, rng, 0.2)) for _ in range(200)
     )
-    assert 20 <= told <= 60
+    assert 20 <= sent <= 60
     limits.acquire('e1', 20.0, 0.0)
     assert limits.updates_to_send(20.5, rng, 0.0)
 
 
-def test_only_so_many_limits_are_kept_and_told():
+def test_the_numbers_of_limits_kept_and_sent_are_bounded():
     limits = ratelimits.make_limits('r1', 'a')
-    for number in range(ratelimits.MOST_KNOWN + 10):
+    for number in range(ratelimits.MAX_LIMITS + 10):
         limits.record_rate(f'e{number}', 1, 1.0, 10.0, 10.0)
-    assert len(limits.by_endpoint) == ratelimits.MOST_KNOWN
+    assert len(limits.by_endpoint) == ratelimits.MAX_LIMITS
     assert (
         len(limits.updates_to_send(10.0, random.Random(1)))
-        == ratelimits.MOST_TOLD
+        == ratelimits.MAX_SENT
     )
     limits.keep_only(['e1'])
     assert list(limits.by_endpoint) == ['e1']
@@ -234,7 +239,7 @@
         (Site(), 4),
         (Site(rate=4.0), 4),
         (Site(rate=20.0, demand=10.0), 2),
-        (Site(wanting=1), 4),
+        (Site(demanding=1), 4),
         (Site(late=3), 4),
         (Site(late=3, rate=8.0), 4),
         (Site(frozen=2, rate=4.0), 4),
@@ -244,11 +249,16 @@
     ],
 )
 def test_the_fleet_keeps_to_a_limit_and_uses_it(site, seeds):
-    """Load: more than an endpoint takes; routers come later, stand still."""
+    """Load: more than the endpoint accepts; routers join late or freeze."""
     for seed in range(seeds):
-        sent = limitload.play(site, seed).sent
-        most = limitload.max_in_window(sent, WINDOW, CONTACT)
-        assert most <= TIMES * site.rate * WINDOW + EXTRA
-        later = [at for at in sent if at > 2 * CONTACT]
-        may = site.rate * (site.seconds - 2 * CONTACT)
-        assert len(later) >= USED * may
+        sent = limitload.simulate(site, seed).sent
+        largest = limitload.max_in_window(
+            sent, WINDOW_SECONDS, PROPAGATION_SECONDS
+        )
+        assert (
+            largest
+            <= MAX_EXCESS_FACTOR * site.rate * WINDOW_SECONDS + EXTRA_REQUESTS
+        )
+        later = [at for at in sent if at > 2 * PROPAGATION_SECONDS]
+        allowed = site.rate * (site.seconds - 2 * PROPAGATION_SECONDS)
+        assert len(later) >= MIN_USED_FRACTION * allowed
