--- a/packages/policy/ibisring_policy/gateway/polling.py
+++ b/packages/policy/ibisring_policy/gateway/polling.py
@@ -1,11 +1,11 @@
 """When a router calls the store that it follows, and how long a call waits.
 
-A call that waits for changes is the cheapest way to follow a table, but one
-under way when the store falls silent is never answered.  It ends by its own
-timeout, for a fleet of six 5.4 s later, however soon the store is back; the
-router acts on old routes, keys and endpoints meanwhile.  So a call waits only
-while nothing speaks against the store.  A sign of trouble ends the calls that
-wait, and short ones ask until one is answered.
+A long poll is the cheapest way to follow a table, but one that is open when
+the store stops responding is never answered.  It ends by its own timeout, for
+a fleet of six after 5.4 s, however soon the store is back; meanwhile the
+router acts on old routes, keys and endpoints.  So a call waits for changes
+only while there is no sign of an outage.  A sign of an outage ends the open
+long polls, and short calls follow until one is answered.
 """
 
 __all__ = ['Fleet', 'Polling', 'change_pause', 'make_polling']
@@ -14,49 +14,50 @@
 
 import msgspec
 
-# Seconds between the ends of calls of a whole fleet that follow one table,
+# Time between the ends of the calls of a whole fleet that follow one table,
 # and the longest that one may wait: the store keeps some 20 s of history.
 CALL_INTERVAL_SECONDS = 0.9
 MAX_WAIT_SECONDS = 15.0
-# Growth or shrinking of the fleet at which its calls are spread anew.
-OTHER_FLEET = 1.5
-# Seconds to pause after a change: at least, for each router, and at most.  In
-# a pause a router learns from another of its failure domain what has changed,
-# 0.25 s after it was told that something has; the bound is for the case that
-# none tells, and leaves half of the two seconds in which a leaving endpoint
-# still serves.
-LEAST_PAUSE = 0.1
-PAUSE_EACH = 0.016
-MOST_PAUSE = 1.2
-# Seconds from one try to the next while the store does not answer: the first
-# ones come quickly, since one answer may just have been lost.  Later ones are
-# as far apart as a return may stay unnoticed, further in a large fleet, so
-# that a store which comes back to many routers at once is spared; one that is
-# answered tells the others.
-FIRST_RETRY = 0.1
+# Growth or shrinking of the fleet, as a factor, at which its calls are spread
+# anew.
+RESPREAD_FACTOR = 1.5
+# Pause after a change: at least, for each router, and at most.  During a pause
+# a router receives what has changed from another one of its failure domain,
+# 0.25 s after it was notified of the change; the upper bound is for the case
+# that it does not, and leaves half of the two seconds in which a leaving
+# endpoint still serves.
+MIN_PAUSE_SECONDS = 0.1
+PAUSE_SECONDS_PER_ROUTER = 0.016
+MAX_PAUSE_SECONDS = 1.2
+# Pause between tries while the store does not answer.  The first tries follow
+# quickly, since a single answer may have been lost.  Later ones are as far
+# apart as a recovery may stay unnoticed, further in a large fleet, so that a
+# store that comes back is not overloaded; a router that is answered notifies
+# the others.
+FIRST_RETRY_SECONDS = 0.1
 RETRY_GROWTH = 4.0
-LEAST_RETRY = 1.2
-RETRY_EACH = 0.05
-MOST_RETRY = 4.0
-# A router that knows nothing yet serves nobody, so it asks sooner.
-MOST_FIRST_RETRY = 0.3
-# Seconds that a try may take, and those by which the table that was tried
-# last lets the other go first.
+MIN_RETRY_BOUND_SECONDS = 1.2
+RETRY_SECONDS_PER_ROUTER = 0.05
+MAX_RETRY_BOUND_SECONDS = 4.0
+# A router that has read nothing yet serves no requests, so it retries sooner.
+MAX_INITIAL_RETRY_SECONDS = 0.3
+# Duration of a try, and the delay by which the table that was tried last lets
+# the other one go first.
 TRY_SECONDS = 0.6
-TURN_SECONDS = 0.02
-# A try that follows another router's word of the return comes within so many
-# seconds, at random: those who are told together don't ask together.
-SPREAD_SECONDS = 0.2
-# Seconds after the end of trouble for which a router goes on by itself: what
-# lapsed meanwhile is back within two.
-STEADY_AFTER = 3.0
+ALTERNATION_SECONDS = 0.02
+# A try after another router reported a recovery comes within this time, at
+# random, so that routers notified together do not call at once.
+RECOVERY_JITTER_SECONDS = 0.2
+# Time after an outage for which a router still polls the store itself: entries
+# that expired in the outage are back within two seconds.
+STABLE_AFTER_SECONDS = 3.0
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """How many routers call the store, and this one's place among them.
+    """How many routers call the store, and this one's position among them.
 
-    `rank` counts from 0 on; `running` are all routers, which call it too
-    while it does not answer.
+    `rank` counts from 0; `running` is the number of all routers, which all
+    call the store while it does not answer.
     """
 
     callers: int = 1
@@ -64,45 +65,45 @@
     running: int = 1
 
 
-class _Followed:
-    """One table: its call under way, and what speaks for or against it."""
+class _Table:
+    """State of one table: its open call, its last answer and failure."""
 
     __slots__ = (
-        'trouble_at',
+        'failing_at',
         'answered_at',
         'has_read',
         'has_failed',
         'is_waiting',
-        'is_fresh',
+        'needs_spread',
         'next_try_at',
-        'begun_at',
-        'spread_among',
+        'try_started_at',
+        'spread_callers',
     )
 
     def __init__(self):
-        self.begun_at = -math.inf
-        self.trouble_at = -math.inf
+        self.try_started_at = -math.inf
+        self.failing_at = -math.inf
         self.answered_at = -math.inf
         self.has_read = False
         self.has_failed = False
         self.is_waiting = False
-        self.is_fresh = True
+        self.needs_spread = True
         self.next_try_at = -math.inf
-        self.spread_among = 0
+        self.spread_callers = 0
 
-    def is_other_fleet(self, fleet):
-        """Say whether so many came or left that calls may end together."""
-        few, many = sorted((self.spread_among, fleet.callers))
-        return many >= few * OTHER_FLEET
+    def is_fleet_changed(self, fleet):
+        """Whether so many routers came or left that calls may coincide."""
+        few, many = sorted((self.spread_callers, fleet.callers))
+        return many >= few * RESPREAD_FACTOR
 
     @property
     def is_failing(self):
-        """Whether a sign of trouble is newer than the last answer."""
-        return self.trouble_at >= self.answered_at
+        """Whether the last sign of an outage is newer than the last answer."""
+        return self.failing_at >= self.answered_at
 
 
 class Polling:
-    """Decides for the calls of one router, one at a time for each table.
+    """Schedules the calls of one router, one at a time for each table.
 
     Parameters
     ----------
@@ -114,9 +115,9 @@
     Attributes
     ----------
     lost_at : float
-        When the store was last lost to this router.  Others are told, since
-        a loss that is over before the next datagram may have struck their
-        calls too.
+        Start of the last outage that this router noticed itself.  It is sent
+        to the others even if the outage is over before the next datagram,
+        since their calls may be affected as well.
 
     Examples
     --------
@@ -132,36 +133,36 @@
     """
 
     def __init__(self, names, draw):
-        self.tables = {name: _Followed() for name in names}
+        self.tables = {name: _Table() for name in names}
         self.draw = draw
         self.next_try_at = -math.inf
-        self.retry = FIRST_RETRY
+        self.retry_seconds = FIRST_RETRY_SECONDS
         self.tried_last = None
         self.lost_at = -math.inf
-        self.regained_at = -math.inf
+        self.recovered_at = -math.inf
 
     def has_read(self, name):
-        """Say whether a table was read."""
+        """Whether a table has been read."""
         return self.tables[name].has_read
 
     def is_any_failing(self):
-        """Say whether some table was not answered since a sign of trouble."""
-        return bool(self._in_trouble())
+        """Whether some table has no answer since a sign of an outage."""
+        return bool(self._failing_tables())
 
     def is_stable(self, now):
-        """Say whether the store has answered for a while."""
+        """Whether the store has answered for some time without an outage."""
         if self.is_any_failing():
             return False
-        return now - self.regained_at >= STEADY_AFTER
+        return now - self.recovered_at >= STABLE_AFTER_SECONDS
 
     def is_failing(self, name):
-        """Say whether a table's next call must not wait for changes."""
+        """Whether a table's next call must not wait for changes."""
         return self.tables[name].is_failing
 
     def delay(self, name, now):
-        """Give the seconds until a table's next call may begin.
+        """Return the seconds until a table's next call may begin.
 
-        While the store does not answer, the tables take turns: one try of
+        While the store does not answer, the tables alternate: one try of
         either shows as much as two.
         """
         table = self.tables[name]
@@ -171,16 +172,16 @@
             return max(0.0, table.next_try_at - now)
         due = self.next_try_at
         if name == self.tried_last:
-            due += TURN_SECONDS
+            due += ALTERNATION_SECONDS
         return max(0.0, due - now)
 
     def begin_call(self, name, now, fleet):
-        """Begin a call and give the seconds that it waits for a change.
+        """Begin a call and return the seconds that it waits for a change.
 
-        Calls that began together, after a change or while the routers had
-        not heard of each other, end one after the other, so that some call
-        of the fleet begins every `CALL_INTERVAL_SECONDS` and shows a silence
-        to all.  All would otherwise hang until the last.
+        Calls that began together, after a change or before the routers knew
+        of each other, get different waits, so that a call of the fleet begins
+        every `CALL_INTERVAL_SECONDS` and an unresponsive store is noticed
+        soon.  Otherwise all calls would hang until the same moment.
 
         Parameters
         ----------
@@ -196,126 +197,133 @@
         table.is_waiting = not table.is_failing
         if table.is_failing:
             self.tried_last = name
-            table.begun_at = now
+            table.try_started_at = now
             if table.has_read:
-                self.next_try_at = now + TRY_SECONDS + FIRST_RETRY
+                self.next_try_at = now + TRY_SECONDS + FIRST_RETRY_SECONDS
             return 0.0
         step = min(CALL_INTERVAL_SECONDS, MAX_WAIT_SECONDS / fleet.callers)
-        if table.is_fresh or table.is_other_fleet(fleet):
-            table.spread_among = fleet.callers
+        if table.needs_spread or table.is_fleet_changed(fleet):
+            table.spread_callers = fleet.callers
             return step * (fleet.rank + 1)
         return step * fleet.callers
 
     def answered(self, name, now, changed):
-        """Note an answer.
+        """Record an answer to a call.
 
         Parameters
         ----------
         name : str
         now : float
         changed : bool
-            Whether there was anything new.
+            Whether it contained a change.
 
         Returns
         -------
         list of str
-            Tables in trouble, whose next call may begin now.
+            Failing tables, whose next call may begin now.
         """
         table = self.tables[name]
         if table.has_failed and table.has_read:
-            self.regained_at = now
+            self.recovered_at = now
         table.has_failed = False
-        table.is_fresh = changed or table.is_failing
+        table.needs_spread = changed or table.is_failing
         table.answered_at = now
         table.has_read = True
         table.is_waiting = False
-        self.retry = FIRST_RETRY
+        self.retry_seconds = FIRST_RETRY_SECONDS
         self.next_try_at = now
-        return self._in_trouble()
+        return self._failing_tables()
 
     def failed(self, name, now, fleet):
-        """Note a call without an answer.
+        """Record a call without an answer.
 
         Returns
         -------
         list of str
-            Tables whose calls are to be ended.
+            Tables whose open calls should be ended.
         """
         table = self.tables[name]
         table.is_waiting = False
         table.has_failed = True
         ended = self.outage_suspected(now)
-        pause = self.retry * (0.9 + 0.2 * self.draw())
-        table.next_try_at = now + min(pause, MOST_FIRST_RETRY)
-        # A call that took its whole time has waited already.
-        self.next_try_at = max(table.begun_at + pause, now + FIRST_RETRY)
-        shared = RETRY_EACH * fleet.running
-        longest = min(MOST_RETRY, max(LEAST_RETRY, shared))
-        self.retry = min(longest, self.retry * RETRY_GROWTH)
+        pause = self.retry_seconds * (0.9 + 0.2 * self.draw())
+        table.next_try_at = now + min(pause, MAX_INITIAL_RETRY_SECONDS)
+        # The duration of the call counts as part of the pause.
+        self.next_try_at = max(
+            table.try_started_at + pause, now + FIRST_RETRY_SECONDS
+        )
+        shared = RETRY_SECONDS_PER_ROUTER * fleet.running
+        bound = min(
+            MAX_RETRY_BOUND_SECONDS, max(MIN_RETRY_BOUND_SECONDS, shared)
+        )
+        self.retry_seconds = min(bound, self.retry_seconds * RETRY_GROWTH)
         return ended
 
     def outage_suspected(self, now):
-        """Note a sign of this router's own that the store may not answer.
+        """Record a sign that the store may not answer this router.
 
         Returns
         -------
         list of str
-            Tables whose calls are to be ended.
+            Tables whose open calls should be ended.
         """
-        if not self._in_trouble():
+        if not self._failing_tables():
             self.lost_at = now
         return self.outage_reported(now)
 
     def outage_reported(self, lost_at):
-        """Note that the store was lost to some router at a time.
+        """Record that some router lost contact with the store at a time.
 
-        A table that was answered since has nothing to do with that loss,
-        of which the last router may hear seconds after the first.
+        A table that has been answered since is not affected: reports of one
+        outage may arrive over several seconds.
 
         Returns
         -------
         list of str
-            Tables whose calls are to be ended.
+            Tables whose open calls should be ended.
         """
         ended = []
         for name, table in self.tables.items():
             if table.answered_at > lost_at:
                 continue
-            table.trouble_at = max(table.trouble_at, lost_at)
+            table.failing_at = max(table.failing_at, lost_at)
             if table.is_waiting:
                 table.is_waiting = False
                 ended.append(name)
         return ended
 
     def recovery_reported(self, now):
-        """Note that another router is answered again.
+        """Record that the store answers another router again.
 
         Returns
         -------
         list of str
-            Tables whose next call may begin sooner than planned.
+            Failing tables, whose next call may begin sooner than planned.
         """
-        soon = now + SPREAD_SECONDS * self.draw()
+        soon = now + RECOVERY_JITTER_SECONDS * self.draw()
         self.next_try_at = min(self.next_try_at, soon)
-        return self._in_trouble()
+        return self._failing_tables()
 
-    def _in_trouble(self):
+    def _failing_tables(self):
         return [
             name for name, table in self.tables.items() if table.is_failing
         ]
 
 
 def change_pause(fleet):
-    """Give the seconds from a change to the next call that waits.
+    """Return the seconds from a change to the next long poll.
 
-    When many endpoints register at once, a call for each change by each
-    router would be most of a day's calls.  A change that comes within the
-    pause is known that much later, a fraction of the two seconds in which a
-    leaving endpoint still serves.
+    When many endpoints register at once, a call by each router for each change
+    would make up most of a day's calls.  A change within the pause is noticed
+    later by that time, a fraction of the two seconds in which a leaving
+    endpoint still serves.
     """
-    return min(MOST_PAUSE, LEAST_PAUSE + PAUSE_EACH * fleet.callers)
+    return min(
+        MAX_PAUSE_SECONDS,
+        MIN_PAUSE_SECONDS + PAUSE_SECONDS_PER_ROUTER * fleet.callers,
+    )
 
 
 def make_polling(names, draw):
-    """Make a `Polling` that has read nothing yet."""
+    """Make a `Polling` of tables that have not been read."""
     return Polling(names, draw)
--- a/packages/policy/ibisring_policy/gateway/tests/test_polling.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_polling.py
@@ -16,8 +16,8 @@
     return made
 
 
-def _try(made, name, now, fleet=SIX):
-    """Make a try without an answer; give when the next may begin."""
+def _fail_try(made, name, now, fleet=SIX):
+    """Make a try without an answer; return when the next may begin."""
     assert made.begin_call(name, now, fleet) == 0.0
     made.failed(name, now + polling.TRY_SECONDS, fleet)
     now += polling.TRY_SECONDS
@@ -25,24 +25,24 @@
 
 
 @pytest.mark.parametrize('count', (1, 2, 6, 30, 83, 300))
-def test_calls_of_the_fleet_do_not_grow_with_it(count):
+def test_the_rate_of_calls_is_independent_of_the_fleet_size(count):
     """Load: routers that follow a table in which nothing changes."""
     made = _polling()
     fleet = polling.Fleet(count, 0, count)
     made.begin_call(ROUTES, 10.0, fleet)
     made.answered(ROUTES, 11.0, False)
-    every = made.begin_call(ROUTES, 11.0, fleet) / count
-    wanted = min(
+    interval = made.begin_call(ROUTES, 11.0, fleet) / count
+    expected = min(
         polling.CALL_INTERVAL_SECONDS, polling.MAX_WAIT_SECONDS / count
     )
-    assert every == pytest.approx(wanted)
+    assert interval == pytest.approx(expected)
 
 
 @pytest.mark.parametrize('count', (1, 3, 6, 88))
-def test_calls_that_begin_together_do_not_end_together(count):
-    """Symptom: the whole fleet hangs on a silent store until one moment.
+def test_calls_that_begin_together_end_at_different_times(count):
+    """Symptom: the whole fleet hangs on an unresponsive store at once.
 
-    Sequence: all routers read a change and call anew at the same time.
+    Sequence: all routers read a change and call again at the same time.
     Cause: all of these calls waited equally long.
     """
     ends = []
@@ -55,10 +55,10 @@
 
 
 def test_calls_are_spread_once_the_routers_know_each_other():
-    """Symptom: three seconds after a silence of 0.4 s no router is up to date.
+    """Symptom: 3 s after the store paused for 0.4 s all routers are stale.
 
-    Sequence: six routers start and begin their calls together; they hear of
-    each other; nothing changes until the store falls silent.
+    Sequence: six routers start and begin their calls together; they learn of
+    each other; nothing changes until the store stops responding.
     Cause: calls were spread after a change only, and by the fleet known then.
     """
     alone = polling.Fleet(1, 0)
@@ -72,12 +72,12 @@
     assert max(gaps) <= polling.CALL_INTERVAL_SECONDS + 1e-9
 
 
-def test_a_call_does_not_wait_on_a_store_in_trouble():
+def test_a_call_does_not_wait_for_changes_after_a_failure():
     """Symptom: a router acts on an old table for seconds after an outage.
 
-    Sequence: a call fails; the next one begins while the store is silent.
-    Cause: it waited for changes as on a calm store, and for an answer that
-    could not come.
+    Sequence: a call fails; the next one begins while the store is down.
+    Cause: it waited for changes as usual, and for an answer that could not
+    come.
     """
     made = _polling()
     made.begin_call(ROUTES, 10.0, SIX)
@@ -87,7 +87,7 @@
     assert made.begin_call(ROUTES, 15.6, SIX) > 0.0
 
 
-def test_a_failure_ends_the_other_call_too():
+def test_a_failed_call_ends_the_call_of_the_other_table():
     made = _polling()
     made.begin_call(ROUTES, 10.0, SIX)
     made.begin_call(ENDPOINTS, 10.0, SIX)
@@ -98,28 +98,28 @@
 
 
 def test_a_short_call_is_not_ended():
-    """A slow store would otherwise never be waited for long enough."""
+    """Failure: calls to a slow store never get the time to be answered."""
     made = _polling()
     made.failed(ROUTES, 15.4, SIX)
     made.begin_call(ROUTES, 15.5, SIX)
     assert made.outage_suspected(15.6) == []
 
 
-def test_a_return_is_noticed_within_a_try_and_a_pause():
-    """Each router by itself, whenever in its tries the store returns."""
+def test_a_recovery_is_noticed_within_one_try_and_pause():
+    """By each router itself, at whatever point of a try the store recovers."""
     made = _polling()
     now = 20.0
     made.failed(ROUTES, now, SIX)
-    begins = []
+    try_times = []
     for number in range(20):
-        begins.append(now)
-        now = _try(made, (ROUTES, ENDPOINTS)[number % 2], now)
-    gaps = [after - before for before, after in zip(begins, begins[1:])]
+        try_times.append(now)
+        now = _fail_try(made, (ROUTES, ENDPOINTS)[number % 2], now)
+    gaps = [after - before for before, after in zip(try_times, try_times[1:])]
     assert max(gaps) < 1.5
 
 
-def test_the_tables_take_turns_while_the_store_is_away():
-    """Load: six routers and a silent store; one try a router, not two."""
+def test_the_tables_alternate_during_an_outage():
+    """Load: six routers in an outage; one try per router, not two."""
     made = _polling()
     made.failed(ROUTES, 15.0, SIX)
     made.begin_call(ROUTES, 15.1, SIX)
@@ -129,7 +129,7 @@
 
 
 def test_tries_of_a_large_fleet_are_spread():
-    """Load: 88 and 380 routers before a store that is away."""
+    """Load: 88 and 380 routers in an outage of the store."""
     for count in (88, 380):
         made = _polling()
         fleet = polling.Fleet(count, 0, count)
@@ -137,29 +137,29 @@
         now = 15.1
         for _ in range(20):
             begun = now
-            now = _try(made, ROUTES, now, fleet)
+            now = _fail_try(made, ROUTES, now, fleet)
         assert count / (now - begun) <= 120.0
 
 
-def test_a_router_that_knows_nothing_asks_soon_again():
-    """Symptom: after the store's return nobody is served for 1.5 s.
+def test_a_router_that_has_read_nothing_retries_soon():
+    """Symptom: for 1.5 s after the store's recovery no request is served.
 
-    Sequence: all routers are killed while the store is down; it returns.
-    Cause: the pause between tries grew as for one that serves meanwhile.
+    Sequence: all routers are killed while the store is down; it recovers.
+    Cause: the pause between tries grew as for a router that has the tables.
     """
     made = polling.make_polling([ROUTES, ENDPOINTS], lambda: 1.0)
     for _ in range(20):
         made.failed(ROUTES, 10.0, SIX)
     pause = made.delay(ROUTES, 10.0)
-    assert pause <= polling.MOST_FIRST_RETRY + 1e-9
+    assert pause <= polling.MAX_INITIAL_RETRY_SECONDS + 1e-9
     assert made.delay(ENDPOINTS, 10.0) == 0.0
 
 
-def test_a_loss_that_was_answered_since_is_no_sign():
-    """Load: 88 routers that lose and regain the store together.
+def test_a_reported_outage_before_the_last_answer_is_ignored():
+    """Load: an outage that affects 88 routers together.
 
-    Each hears of the loss from all others, from the last one fifteen seconds
-    later; it called the store anew each time.
+    Each receives a report of it from all others, the last one fifteen seconds
+    later, and called the store again each time.
     """
     made = _polling(10.0)
     made.begin_call(ROUTES, 10.0, SIX)
@@ -171,12 +171,12 @@
     assert made.outage_reported(11.1) == []
 
 
-def test_a_loss_is_told_from_its_first_sign():
-    """Symptom: five of six routers hang after a silence of half a second.
+def test_an_outage_counts_from_its_first_sign():
+    """Symptom: five of six routers hang after an outage of half a second.
 
     Sequence: one router's call ends without an answer, and its next one is
-    answered before it tells the others anything.
-    Cause: only what it knew at the moment of telling was told.
+    answered before it sends the others anything.
+    Cause: it sent only its state at the time of sending.
     """
     made = _polling(10.0)
     made.failed(ROUTES, 15.0, SIX)
@@ -189,22 +189,22 @@
     assert made.lost_at == 15.0
 
 
-def test_a_return_told_by_another_router_is_tried_at_once():
-    """Load: 88 routers, of which each tries every few seconds only."""
+def test_a_reported_recovery_is_tried_at_once():
+    """Load: 88 routers, of which each tries only every few seconds."""
     made = _polling()
     fleet = polling.Fleet(88, 0, 88)
     now = 15.0
     made.failed(ROUTES, now, fleet)
     for _ in range(6):
-        now = _try(made, ROUTES, now, fleet)
+        now = _fail_try(made, ROUTES, now, fleet)
     made.begin_call(ROUTES, now, fleet)
     made.failed(ROUTES, now, fleet)
-    assert made.delay(ROUTES, now) > polling.SPREAD_SECONDS
+    assert made.delay(ROUTES, now) > polling.RECOVERY_JITTER_SECONDS
     assert made.recovery_reported(now) == [ROUTES, ENDPOINTS]
-    assert made.delay(ENDPOINTS, now) <= polling.SPREAD_SECONDS
+    assert made.delay(ENDPOINTS, now) <= polling.RECOVERY_JITTER_SECONDS
 
 
 def test_the_pause_after_a_change_is_bounded():
     for count in (1, 6, 88, 380):
         pause = polling.change_pause(polling.Fleet(count, 0, count))
-        assert polling.LEAST_PAUSE < pause <= polling.MOST_PAUSE
+        assert polling.MIN_PAUSE_SECONDS < pause <= polling.MAX_PAUSE_SECONDS
