--- a/packages/policy/ibisring_policy/gateway/peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/peerreports.py
@@ -1,7 +1,7 @@
-"""Which routers run, from what they tell.
+"""Which routers run, judged by the gossip messages received from them.
 
-Each router of a failure domain tells all others there; of the other domains
-it hears some routers, and how many run in each.
+Each router of a failure domain sends to all others there.  From the other
+domains it receives messages of some routers, and the number that run in each.
 """
 
 __all__ = ['PeerReport', 'PeerReports', 'make_peer_reports']
@@ -12,24 +12,25 @@
 from ibisring_policy.gateway import storereaders
 import msgspec
 
-# Seconds for which a router counts as running after it was heard, and for
-# which the number that another domain tells counts.  A router tells those of
-# its own domain something five times in this, so that of datagrams of which a
-# third is lost at least one comes.
+# How long a router counts as running after its last message, and how long the
+# number reported for another domain is used.  A router sends to those of its
+# own domain five times in this period, so that at least one datagram arrives
+# where a third of them is lost.
 ROUTER_TIMEOUT_SECONDS = 4.4
-# Seconds after its start in which a router has not heard all of its domain.
+# Time after its start in which a router has not received messages from all
+# routers of its domain.
 COUNT_WARMUP_SECONDS = 2.0
-# Seconds for which what a router knows of the store counts.
+# How long a router's report of the store is used.
 STORE_STATUS_SECONDS = 2.5
 SECOND_MS = 1000.0
-# Of a domain of which nothing was told: when that was, and how many run.
-_NEVER = (-math.inf, 0)
+# Default for a domain without a reported number: report time and number.
+_NO_REPORT = (-math.inf, 0)
 
 
 class PeerReport(msgspec.Struct, kw_only=True):
-    """What another router told last; `received_at` is when, in seconds.
+    """What another router last sent; `received_at` is in seconds.
 
-    `neighbour` is None for a release that does not tell it.
+    `neighbour` is None for a release that does not send it.
     """
 
     name: str
@@ -40,7 +41,7 @@
 
     @property
     def has_seen_store(self):
-        """Whether what it says of the store is what it has seen itself."""
+        """Whether its store status is based on calls of its own."""
         known = self.neighbour
         if (
             known is None
@@ -51,7 +52,7 @@
 
 
 class PeerReports:
-    """What one router has heard of the others.
+    """The last reports that one router received from the others.
 
     Parameters
     ----------
@@ -61,17 +62,17 @@
 
     Examples
     --------
-    >>> hearing = make_peer_reports('r1', 'a', 0.0)
+    >>> reports = make_peer_reports('r1', 'a', 0.0)
     >>> lost = ordering.StoreTouch.LOST
     >>> for name, domain in (('r2', 'a'), ('r3', 'b')):
     ...     report = PeerReport(
     ...         name=name, domain=domain, received_at=9.0, store_status=lost
     ...     )
-    ...     hearing.receive(report)
-    >>> hearing.receive_counts({'b': (39, 500)}, 'b', 9.0)
-    >>> hearing.router_counts(10.0)
+    ...     reports.receive(report)
+    >>> reports.receive_counts({'b': (39, 500)}, 'b', 9.0)
+    >>> reports.router_counts(10.0)
     {'a': 2, 'b': 39}
-    >>> hearing.router_counts(15.0)
+    >>> reports.router_counts(15.0)
     {'a': 1}
     """
 
@@ -80,116 +81,116 @@
         self.domain = domain
         self.started_at = started_at
         self.by_name = {}
-        self.told_counts = {}
-        self.first_hand = {}
+        self.reported_counts = {}
+        self.first_hand_counts = {}
 
-    def receive(self, heard):
-        """Note what a router told; give what it told before, or None."""
-        before = self.by_name.get(heard.name)
-        self.by_name[heard.name] = heard
+    def receive(self, report):
+        """Record a report; return the previous one of that router or None."""
+        before = self.by_name.get(report.name)
+        self.by_name[report.name] = report
         return before
 
-    def receive_counts(self, counts, teller, now):
-        """Take the newest word of how many routers run in each domain.
+    def receive_counts(self, counts, sender_domain, now):
+        """Record the latest numbers of running routers by failure domain.
 
-        Only what a router says of its own domain is passed on: each hop
-        makes word look younger by its delay, so that it would go round for
-        as long as there are routers.
+        Only what a router reports of its own domain is forwarded.  Each hop
+        makes a number look younger by its delay, so that a number forwarded
+        at second hand would circulate for as long as there are routers.
 
         Parameters
         ----------
         counts : dict of str to (int, int)
             By failure domain, how many run and how many milliseconds ago one
-            of them said so.
-        teller : str
-            Domain of the router that tells it.
+            of them reported so.
+        sender_domain : str
+            Domain of the router that sent the numbers.
         now : float
         """
         for domain, (count, age_ms) in counts.items():
-            said_at = now - age_ms / SECOND_MS
-            if said_at > self.told_counts.get(domain, _NEVER)[0]:
-                self.told_counts[domain] = said_at, count
-            if domain == teller:
-                self.first_hand[domain] = said_at, count
+            reported_at = now - age_ms / SECOND_MS
+            if reported_at > self.reported_counts.get(domain, _NO_REPORT)[0]:
+                self.reported_counts[domain] = reported_at, count
+            if domain == sender_domain:
+                self.first_hand_counts[domain] = reported_at, count
 
-    def lately(self, now, within=ROUTER_TIMEOUT_SECONDS):
-        """Give what was heard within some seconds.
+    def recent(self, now, within=ROUTER_TIMEOUT_SECONDS):
+        """Return the reports received within some seconds.
 
         Returns
         -------
         list of PeerReport
         """
-        everyone = list(self.by_name.values())
-        return [
-            heard for heard in everyone if now - heard.received_at < within
-        ]
+        reports = list(self.by_name.values())
+        return [each for each in reports if now - each.received_at < within]
 
-    def near(self, now, within=ROUTER_TIMEOUT_SECONDS):
-        """Give what was heard of the own domain within some seconds."""
-        lately = self.lately(now, within)
-        return [heard for heard in lately if heard.domain == self.domain]
+    def recent_in_domain(self, now, within=ROUTER_TIMEOUT_SECONDS):
+        """Return the recent reports of routers of the own domain."""
+        recent = self.recent(now, within)
+        return [each for each in recent if each.domain == self.domain]
 
     def neighbours(self, now):
-        """Give the routers of the own domain that may read the store.
+        """Return the routers of the own domain that may read the store.
 
         Returns
         -------
         list of storereaders.Neighbour
         """
-        near = self.near(now, storereaders.PEER_TIMEOUT_SECONDS)
-        return [heard.neighbour for heard in near if heard.neighbour]
+        recent = self.recent_in_domain(now, storereaders.PEER_TIMEOUT_SECONDS)
+        return [each.neighbour for each in recent if each.neighbour]
 
     def store_statuses(self, now):
-        """Give what the routers heard lately know of the store.
+        """Return what other routers recently saw of the store, by name.
 
-        One that leaves reading to others and has noticed nothing knows
-        nothing.
+        A router that relies on readers and has seen no outage is left out,
+        since it does not call the store itself.
 
         Returns
         -------
         dict of str to ordering.StoreTouch
         """
-        lately = self.lately(now, STORE_STATUS_SECONDS)
-        return {h.name: h.store_status for h in lately if h.has_seen_store}
+        recent = self.recent(now, STORE_STATUS_SECONDS)
+        return {r.name: r.store_status for r in recent if r.has_seen_store}
 
     def router_counts(self, now):
-        """Give the running routers by failure domain, this one included.
+        """Return the running routers by failure domain, this one included.
 
-        Of the other domains either some router has told the number, or only
-        those that were heard are known.
+        For another domain that is the number reported by a router, or else
+        the number of its routers with a recent report.
         """
         counts = {self.domain: 1}
-        for heard in self.lately(now):
-            counts[heard.domain] = counts.get(heard.domain, 0) + 1
-        for domain, count in self._young(self.told_counts, now).items():
+        for report in self.recent(now):
+            counts[report.domain] = counts.get(report.domain, 0) + 1
+        for domain, count in self._unexpired(
+            self.reported_counts, now
+        ).items():
             counts[domain] = count[1]
         return counts
 
     def counts_to_send(self, now):
-        """Give the counts of routers that `receive_counts` takes."""
-        found = {
+        """Return the counts of routers that `receive_counts` takes."""
+        counts = {
             domain: (count, int((now - at) * SECOND_MS))
-            for domain, (at, count) in self._young(
-                self.first_hand, now
+            for domain, (at, count) in self._unexpired(
+                self.first_hand_counts, now
             ).items()
         }
         if now - self.started_at >= COUNT_WARMUP_SECONDS:
-            found[self.domain] = 1 + len(self.near(now)), 0
-        return found
+            counts[self.domain] = 1 + len(self.recent_in_domain(now)), 0
+        return counts
 
-    def _young(self, told, now):
-        """Leave out the own domain, and what is too old."""
+    def _unexpired(self, reported, now):
+        """Leave out the own domain and expired numbers."""
         return {
             domain: (at, count)
-            for domain, (at, count) in list(told.items())
+            for domain, (at, count) in list(reported.items())
             if domain != self.domain and now - at < ROUTER_TIMEOUT_SECONDS
         }
 
     def rank(self, now):
-        """Give how many running routers come before this one by name."""
-        return sum(1 for h in self.lately(now) if h.name < self.name)
+        """Return how many running routers precede this one by name."""
+        return sum(1 for r in self.recent(now) if r.name < self.name)
 
 
 def make_peer_reports(name, domain, started_at):
-    """Make a `PeerReports` that has heard nobody yet."""
+    """Make an empty `PeerReports`."""
     return PeerReports(name, domain, started_at)
--- a/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
@@ -1,4 +1,4 @@
-"""Tests of which routers seem to run, and what they know."""
+"""Tests of which routers count as running, and what they report."""
 
 from ibisring_policy.gateway import ordering
 from ibisring_policy.gateway import peerreports
@@ -8,26 +8,26 @@
 LOST = ordering.StoreTouch.LOST
 
 
-def _hearing(**heard):
-    """Give what a router of domain a knows; `heard` are touches by name."""
+def _reports(**statuses):
+    """Make reports of routers of domain a; store statuses by name."""
     made = peerreports.make_peer_reports('r1', 'a', -100.0)
-    for name, touch in heard.items():
+    for name, status in statuses.items():
         made.receive(
             peerreports.PeerReport(
-                name=name, domain='a', received_at=10.0, store_status=touch
+                name=name, domain='a', received_at=10.0, store_status=status
             )
         )
     return made
 
 
-def test_a_number_that_was_told_is_not_told_on():
-    """Symptom: a domain of which nothing runs counts as running for good.
+def test_a_number_received_at_second_hand_is_not_forwarded():
+    """Symptom: a domain without running routers counts as running forever.
 
-    Sequence: its routers end at once; others tell each other how many there
-    were, and at each hop that seems a little later than it was.
-    Cause: what was heard at second hand was passed on.
+    Sequence: its routers end at once; others send each other their number,
+    which each hop makes look a little younger.
+    Cause: numbers received at second hand were forwarded.
     """
-    made = _hearing()
+    made = _reports()
     for domain in ('b', 'c'):
         made.receive_counts({domain: (9, 0), 'd': (7, 100)}, domain, 10.0)
     assert sum(made.router_counts(10.0).values()) == 1 + 9 + 9 + 7
@@ -38,8 +38,8 @@
     }
 
 
-def test_a_router_that_just_started_tells_no_number():
-    """Failure: others take its domain for nearly empty."""
+def test_a_router_that_just_started_sends_no_number():
+    """Failure: others consider its domain nearly empty."""
     made = peerreports.make_peer_reports('r1', 'a', 9.0)
     assert made.counts_to_send(10.0) == {}
     assert made.counts_to_send(9.0 + peerreports.COUNT_WARMUP_SECONDS) == {
@@ -47,14 +47,14 @@
     }
 
 
-def test_who_leaves_reading_to_others_knows_nothing_of_the_store():
-    """Symptom: nobody orders engines while the store is away.
+def test_a_router_that_relies_on_readers_reports_no_store_status():
+    """Symptom: no router orders engines during an outage of the store.
 
     Sequence: the readers have lost the store; the others, who would notice
-    by a call of theirs only, still say that they follow it.
-    Cause: what they said counted as what they had seen.
+    only by a call of their own, still report that they follow it.
+    Cause: their report counted like that of a router that calls the store.
     """
-    made = _hearing(r2=LOST, r3=FOLLOWED)
+    made = _reports(r2=LOST, r3=FOLLOWED)
     for name, reads in (('r4', True), ('r5', False)):
         neighbour = storereaders.Neighbour(
             name, storereaders.StoreAccess.SERVED, reads_store=reads
