--- a/packages/policy/ibisring_policy/gateway/catchup.py
+++ b/packages/policy/ibisring_policy/gateway/catchup.py
@@ -1,8 +1,8 @@
-"""When a router asks another one for what it knows, and which.
+"""When a router queries another one for newer tables, and which.
 
-The store may turn some routers away and serve the others, and a call that
-follows it may hang.  A router then goes on with a revoked key or a leaving
-endpoint, while another one knows better.
+The store may reject some routers and serve the others, and a call that follows
+it may hang.  Without a query a router would keep a revoked key or a leaving
+endpoint, while another router has a newer version.
 """
 
 __all__ = ['Catchup', 'make_catchup']
@@ -11,33 +11,33 @@
 
 from ibisring_policy.gateway import polling
 
-# Seconds beyond the usual wait for the store after which others are asked,
-# and between two questions.
+# Time beyond the usual wait for the store after which others are queried, and
+# the interval of queries.
 QUERY_DELAY_SECONDS = 0.5
 QUERY_INTERVAL_SECONDS = 0.4
-# Seconds that another router may be ahead before it is asked: usually the
-# same change is on its way here.  A router that leaves reading to others is
-# told a change some time after they have read it.
+# How long another router may be ahead before it is queried: usually the same
+# change is about to arrive.  A router that relies on readers gets a change
+# some time after they have read it.
 MAX_LAG_SECONDS = 0.25
 MAX_FOLLOWER_LAG_SECONDS = 0.4
-# Seconds between two words of a reader that all is as before, with the time
-# that one may be lost.
-CONFIRMED_EVERY = 2.5
+# Interval at which a reader confirms that nothing has changed, allowing for a
+# lost datagram.
+CONFIRM_INTERVAL_SECONDS = 2.5
 
 
 class Catchup:
-    """Decides for one router.
+    """Decides on the queries of one router.
 
     Attributes
     ----------
     newest_peer : str or None
-        A router that knows something newer.
+        A router that has a newer version.
     behind_since : float or None
-        Since when some router does.
+        When such a router was first noticed.
     wanted_versions : dict of str to int
-        Newest version that others know, by table.
+        Newest version that others have, by table.
     queried_store : bool
-        Whether the store was asked last, and no router since.
+        Whether the last query was to the store.
 
     Examples
     --------
@@ -67,10 +67,10 @@
         self.queried_at = -math.inf
 
     def peer_is_ahead(self, name, now, is_near, versions=None):
-        """Note that another router knows something newer.
+        """Record that another router has a newer version.
 
-        One nearby is preferred: what it tells crosses no link between
-        failure domains, which are dear.
+        A router of the own failure domain is preferred, since traffic between
+        failure domains is expensive.
 
         Parameters
         ----------
@@ -79,7 +79,7 @@
         is_near : bool
             Whether it is in this router's failure domain.
         versions : dict of str to int, optional
-            What it knows, by table.
+            Its versions by table.
         """
         for table, version in (versions or {}).items():
             self.wanted_versions[table] = max(
@@ -91,15 +91,15 @@
             self.behind_since = now
 
     def caught_up(self, versions):
-        """Forget who was ahead if this router knows as much by now.
+        """Drop the wanted versions if this router has them by now.
 
-        Without this each change of endpoints was asked for a second time,
-        a quarter of a second after it had come by itself.
+        Otherwise each change of endpoints would be queried a quarter of a
+        second after it had arrived.
 
         Parameters
         ----------
         versions : dict of str to int
-            What this router knows, by table.
+            The versions of this router by table.
         """
         if not self.wanted_versions:
             return
@@ -112,7 +112,7 @@
         self.newest_peer = None
 
     def is_due(self, now, age, callers, is_follower=False):
-        """Say whether to ask another router now.
+        """Whether to query another router now.
 
         Parameters
         ----------
@@ -122,7 +122,7 @@
         callers : int
             Routers that follow the store.
         is_follower : bool
-            Whether this router leaves that to others.
+            Whether this router relies on readers.
         """
         if now - self.queried_at < QUERY_INTERVAL_SECONDS:
             return False
@@ -130,45 +130,52 @@
             polling.MAX_WAIT_SECONDS, polling.CALL_INTERVAL_SECONDS * callers
         )
         if is_follower:
-            usual += CONFIRMED_EVERY
+            usual += CONFIRM_INTERVAL_SECONDS
         if age > usual + QUERY_DELAY_SECONDS:
             return True
         since = self.behind_since
-        return since is not None and now - since >= _patience(is_follower)
+        return since is not None and now - since >= _max_lag_seconds(
+            is_follower
+        )
 
     def queried(self, now, store=False):
-        """Note that another router is asked, or the store."""
+        """Record a query to another router, or to the store."""
         self.queried_at = now
         self.queried_store = store
 
     def choose(self, names, draw):
-        """Give the router to ask, of some that are known.
+        """Return the router to query.
 
         Parameters
         ----------
         names : list of str
-            Not empty.
+            Candidates; not empty.
         draw : callable
-            Gives random numbers from 0 up to, without, 1.
+            Gives random numbers from the interval [0, 1).
         """
         if self.newest_peer in names:
             return self.newest_peer
         return names[int(draw() * len(names))]
 
     def expire(self, now, is_follower=False):
-        """Forget who was ahead once this router was told the same."""
+        """Drop the wanted versions after twice the accepted lag.
+
+        The next message of a router that is still ahead records them again.
+        """
         since = self.behind_since
-        if since is not None and now - since > 2 * _patience(is_follower):
+        if since is not None and now - since > 2 * _max_lag_seconds(
+            is_follower
+        ):
             self.behind_since = None
             self.newest_peer = None
             self.wanted_versions = {}
 
 
-def _patience(is_follower):
-    """Give the seconds that another router may be ahead."""
+def _max_lag_seconds(is_follower):
+    """Return how long another router may be ahead before a query."""
     return MAX_FOLLOWER_LAG_SECONDS if is_follower else MAX_LAG_SECONDS
 
 
 def make_catchup():
-    """Make a `Catchup` that has heard nothing yet."""
+    """Make a `Catchup` that knows of no newer version."""
     return Catchup()
--- a/packages/policy/ibisring_policy/gateway/storereaders.py
+++ b/packages/policy/ibisring_policy/gateway/storereaders.py
@@ -1,10 +1,11 @@
 """Which routers read the store for the others of their failure domain.
 
 A change that every router reads by itself costs as many calls as there are
-routers.  A few in each failure domain follow the store and tell the others
-what has changed; the others call it only where nobody does that for them.
-Nothing is agreed on: each router goes by what it has heard, and where views
-differ there is a reader more, or for a moment one less.
+routers.  Instead, a few readers in each failure domain follow the store and
+send what has changed to the others, which call it only if there are too few
+readers.  There is no agreement protocol: each router decides by the messages
+it has received, and while views differ there may be a reader too many, or for
+a moment one too few.
 """
 
 __all__ = [
@@ -21,21 +22,21 @@
 from ibisring_policy.gateway import polling
 import msgspec
 
-# Two, so that the loss of one leaves nobody without a reader.
+# Two, so that the loss of one leaves no router without a reader.
 READERS_PER_DOMAIN = 2
-# Seconds after which a router that was not heard reads for nobody; it tells
-# each router of its domain something once a second.
+# Time without a message after which a router does not count as a reader; each
+# router sends to the others of its domain once a second.
 PEER_TIMEOUT_SECONDS = 2.5
-# Seconds for which a router that has just started, and has read everything
-# once, listens for readers.
+# How long a router that has just started, and has read all tables once, waits
+# for messages from readers.
 STARTUP_LISTEN_SECONDS = 1.2
 
 
 class StoreAccess(enum.IntEnum):
-    """How a router stands with the store, as it tells the others.
+    """Whether the store answers a router, as it reports to the others.
 
-    One that has just started, or has seen a sign of trouble since the store
-    last answered it, is unsure.
+    A router that has just started, or has seen a sign of an outage since the
+    last answer, is unsure.
     """
 
     UNSURE = 0
@@ -44,20 +45,22 @@
 
 
 class Role(enum.IntEnum):
-    """What a router does about the store."""
+    """How a router learns of changes in the store."""
 
+    # It relies on the readers.
     TOLD = 0
+    # It is a reader.
     READS = 1
-    # The readers have lost the store: each router asks by itself.
+    # The readers have lost the store: each router calls it by itself.
     ASKS = 2
 
 
 class Neighbour(msgspec.Struct, frozen=True):
-    """A router of one's own domain; `link` is its VM's, in Mbit/s.
+    """A router of the own domain; `link` is the bandwidth of its VM in Mbit/s.
 
-    Those with the fastest links read: they get whole tables and send what
-    has changed to all others.  `reads_store` says that the router calls the
-    store, so that its status is what it has seen itself.
+    Those with the fastest links become readers: they receive whole tables and
+    send what has changed to all others.  `reads_store` says that the router
+    calls the store, so that `store_access` is based on calls of its own.
     """
 
     name: str
@@ -67,19 +70,19 @@
 
     @property
     def order(self):
-        """Sorts those that read before the others."""
+        """Sort key of routers: preferred readers come first."""
         return -self.link, self.name
 
 
 def choose_role(own, others):
-    """Give a router's role.
+    """Return a router's role.
 
     Parameters
     ----------
     own : Neighbour
         The router itself.
     others : list of Neighbour
-        Those of its domain that were heard lately.
+        Those of its domain with recent messages.
 
     Returns
     -------
@@ -95,10 +98,10 @@
     >>> choose_role(Neighbour('c', StoreAccess.SERVED, 100.0), [a, b]).name
     'READS'
     """
-    standings = [each.store_access for each in others]
-    if standings.count(StoreAccess.LOST) >= READERS_PER_DOMAIN:
-        # A store that turns some routers away still serves the others, who
-        # then need not all ask it.
+    accesses = [each.store_access for each in others]
+    if accesses.count(StoreAccess.LOST) >= READERS_PER_DOMAIN:
+        # A store that rejects some routers may still serve others.  With
+        # enough readers among these, not all need to call it.
         served = [e for e in (own, *others) if e.reads_store and _is_served(e)]
         if len(served) < READERS_PER_DOMAIN:
             return Role.ASKS
@@ -108,7 +111,7 @@
 
 
 def preferred_readers(own, others):
-    """Give the routers that read before this one does."""
+    """Return the routers that are readers in preference to this one."""
     before = [e for e in others if _is_served(e) and e.order < own.order]
     return sorted(before, key=lambda each: each.order)[:READERS_PER_DOMAIN]
 
@@ -118,13 +121,13 @@
 
 
 def fleet_position(own_domain, rank, counts):
-    """Give a reader's place among the readers of all failure domains.
+    """Return a reader's position among the readers of all failure domains.
 
     Parameters
     ----------
     own_domain : str
     rank : int
-        Its place among the readers of its domain, from 0 on.
+        Its position among the readers of its domain, from 0.
     counts : dict of str to int
         Running routers by failure domain.
 
--- a/packages/policy/ibisring_policy/gateway/tests/test_catchup.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_catchup.py
@@ -1,4 +1,4 @@
-"""Tests of when a router asks another one, and which."""
+"""Tests of when a router queries another one, and which."""
 
 import pytest
 
@@ -7,11 +7,12 @@
 
 
 @pytest.mark.parametrize('running', (1, 6, 88))
-def test_others_are_asked_while_the_store_answers_late(running):
-    """Symptom: a router that the store turns away keeps a revoked key.
+def test_others_are_queried_when_the_store_answers_late(running):
+    """Symptom: a router that the store rejects keeps a revoked key.
 
-    Sequence: it is turned away; the others are served and know better.
-    Cause: it waited for the store alone.
+    Sequence: the store rejects it and serves the others, which have a newer
+    table.
+    Cause: it waited only for the store.
     """
     made = catchup.make_catchup()
     usual = min(
@@ -21,19 +22,19 @@
     assert made.is_due(100.0, usual + 2 * catchup.QUERY_DELAY_SECONDS, running)
 
 
-def test_questions_are_bounded():
-    """Load: an outage of ten seconds; one question each 0.4 s."""
+def test_the_rate_of_queries_is_bounded():
+    """Load: an outage of ten seconds; one query every 0.4 s."""
     made = catchup.make_catchup()
-    asked = 0
+    queries = 0
     for tick in range(100):
         now = 10.0 + tick * 0.1
         if made.is_due(now, 60.0, 6):
             made.queried(now)
-            asked += 1
-    assert asked <= 10.0 / catchup.QUERY_INTERVAL_SECONDS + 1
+            queries += 1
+    assert queries <= 10.0 / catchup.QUERY_INTERVAL_SECONDS + 1
 
 
-def test_a_change_on_its_way_is_waited_for():
+def test_a_router_waits_for_a_change_before_a_query():
     made = catchup.make_catchup()
     made.peer_is_ahead('r1', 10.0, is_near=False)
     assert not made.is_due(10.0 + catchup.MAX_LAG_SECONDS / 2, 0.0, 6)
@@ -42,7 +43,7 @@
     assert not made.is_due(11.0, 0.0, 6)
 
 
-def test_the_one_that_is_ahead_is_asked_one_nearby_first():
+def test_a_router_ahead_in_the_own_domain_is_queried_first():
     made = catchup.make_catchup()
     names = ['far', 'near', 'other']
     assert made.choose(names, lambda: 0.99) == 'other'
