--- a/packages/policy/ibisring_policy/gateway/adaptivetimeout.py
+++ b/packages/policy/ibisring_policy/gateway/adaptivetimeout.py
@@ -1,8 +1,8 @@
-"""How long to wait for an answer, from how long answers took.
+"""A timeout that is estimated from response times.
 
-A fixed limit that fits a calm site takes every engine of a busy one for lost.
-The estimate is that of TCP's retransmission timer: the smoothed time of an
-answer and four of its smoothed deviations.
+A fixed timeout that suits an idle site makes every engine of a busy one appear
+lost.  The estimate is that of TCP's retransmission timer [1]_: the smoothed
+response time plus four times its smoothed deviation.
 
 References
 ----------
@@ -11,57 +11,70 @@
 
 __all__ = ['AdaptiveTimeout', 'make_adaptive_timeout']
 
-# Weights of the latest answer in its smoothed time and deviation, and how many
-# deviations are waited for.
-TIME_WEIGHT = 0.125
+# Weights of the latest answer in the smoothed response time and deviation, and
+# how many deviations the timeout adds.
+MEAN_WEIGHT = 0.125
 DEVIATION_WEIGHT = 0.25
 DEVIATIONS = 4.0
-# Without an answer in time the limit grows by this factor, as in TCP: answers
-# that come too late are never seen, and would teach nothing.
-GROWTH = 1.5
+# The timeout grows by this factor after a false timeout, as in TCP: answers
+# after the timeout are not measured, so that the estimate would not adapt.
+BACKOFF_FACTOR = 1.5
 
 
 class AdaptiveTimeout:
-    """A limit in seconds that follows the answers seen.
+    """A timeout that adapts to the measured response times.
 
     Parameters
     ----------
     min_seconds, max_seconds : float
-        Bounds of the limit.
+        Bounds of the timeout.
+
+    Attributes
+    ----------
+    seconds : float
+        The timeout.
 
     Examples
     --------
-    >>> patience = make_adaptive_timeout(0.035, 0.15)
-    >>> patience.seconds
+    >>> timeout = make_adaptive_timeout(0.035, 0.15)
+    >>> timeout.seconds
     0.035
     >>> for _ in range(20):
-    ...     patience.answered(0.05)
-    >>> 0.05 < patience.seconds <= 0.15
+    ...     timeout.answered(0.05)
+    >>> 0.05 < timeout.seconds <= 0.15
     True
     """
 
-    __slots__ = ('min_seconds', 'max_seconds', 'time', 'deviation', 'seconds')
+    __slots__ = (
+        'min_seconds',
+        'max_seconds',
+        'mean_seconds',
+        'deviation_seconds',
+        'seconds',
+    )
 
     def __init__(self, min_seconds, max_seconds):
         self.min_seconds = min_seconds
         self.max_seconds = max_seconds
-        self.time = min_seconds / DEVIATIONS
-        self.deviation = 0.0
+        self.mean_seconds = min_seconds / DEVIATIONS
+        self.deviation_seconds = 0.0
         self.seconds = min_seconds
 
     def answered(self, seconds):
-        """Note how long an answer took."""
-        error = seconds - self.time
-        self.time += TIME_WEIGHT * error
-        self.deviation += DEVIATION_WEIGHT * (abs(error) - self.deviation)
-        limit = self.time + DEVIATIONS * self.deviation
-        self.seconds = min(self.max_seconds, max(self.min_seconds, limit))
+        """Record how long an answer took."""
+        error = seconds - self.mean_seconds
+        self.mean_seconds += MEAN_WEIGHT * error
+        self.deviation_seconds += DEVIATION_WEIGHT * (
+            abs(error) - self.deviation_seconds
+        )
+        timeout = self.mean_seconds + DEVIATIONS * self.deviation_seconds
+        self.seconds = min(self.max_seconds, max(self.min_seconds, timeout))
 
     def false_timeout(self):
-        """Note that an endpoint taken for lost by this limit was alive."""
-        self.seconds = min(self.max_seconds, self.seconds * GROWTH)
+        """Record that an endpoint was alive after a timeout."""
+        self.seconds = min(self.max_seconds, self.seconds * BACKOFF_FACTOR)
 
 
 def make_adaptive_timeout(min_seconds, max_seconds):
-    """Make a `AdaptiveTimeout` that has seen no answer."""
+    """Make an `AdaptiveTimeout` without measured answers."""
     return AdaptiveTimeout(min_seconds, max_seconds)
--- a/packages/policy/ibisring_policy/gateway/fairness.py
+++ b/packages/policy/ibisring_policy/gateway/fairness.py
@@ -1,4 +1,4 @@
-"""Who comes first where endpoints take fewer requests than come."""
+"""Which requests have precedence where endpoints are rate limited."""
 
 __all__ = ['Fairness', 'make_fairness']
 
@@ -7,12 +7,12 @@
 
 import msgspec
 
-# Seconds for which a refused request is thought to come back soon.
-REFUSED_FOR = 2.0
-# Seconds over which client accounts are compared.
-COMPARED_FOR = 10.0
-# Decisions kept at most: under a flood, a shorter time is compared.
-MOST_KEPT = 500
+# How long a refused request is expected to be retried soon.
+RETRY_EXPECTED_SECONDS = 2.0
+# Period over which client accounts are compared.
+COMPARISON_SECONDS = 10.0
+# Bound on the decisions kept: under high load the compared period is shorter.
+MAX_DECISIONS = 500
 
 
 class _Decision(msgspec.Struct, frozen=True):
@@ -23,7 +23,7 @@
 
 
 class Fairness:
-    """Keeps what was granted and refused lately; the caller holds a lock.
+    """Recently granted and refused requests; the caller holds a lock.
 
     Examples
     --------
@@ -36,68 +36,70 @@
     """
 
     def __init__(self):
-        self.decisions = collections.deque(maxlen=MOST_KEPT)
+        self.decisions = collections.deque(maxlen=MAX_DECISIONS)
 
     def granted(self, rank, account, now):
-        """Note that a request got its turn."""
-        self._note(_Decision(now, rank, account, True))
+        """Record that a request was granted."""
+        self._record(_Decision(now, rank, account, True))
 
     def refused(self, rank, account, now):
-        """Note that a request was refused for want of a turn."""
-        self._note(_Decision(now, rank, account, False))
+        """Record that a request was refused."""
+        self._record(_Decision(now, rank, account, False))
 
-    def _note(self, decision):
-        since = decision.at - COMPARED_FOR
+    def _record(self, decision):
+        since = decision.at - COMPARISON_SECONDS
         while self.decisions and self.decisions[0].at <= since:
             self.decisions.popleft()
         self.decisions.append(decision)
 
     def recent_refusals(self, now):
-        """Give how many requests were refused a moment ago."""
-        return len(self._lately_refused(now))
+        """Return the number of recently refused requests."""
+        return len(self._recent_refusals(now))
 
-    def _lately_refused(self, now):
-        lately = itertools.takewhile(
-            lambda decision: now - decision.at < REFUSED_FOR,
+    def _recent_refusals(self, now):
+        recent = itertools.takewhile(
+            lambda decision: now - decision.at < RETRY_EXPECTED_SECONDS,
             reversed(self.decisions),
         )
-        return [decision for decision in lately if not decision.granted]
+        return [decision for decision in recent if not decision.granted]
 
     def is_outranked(self, rank, account, now):
-        """Say whether others should come before a request.
+        """Whether other requests have precedence over one.
 
-        Those are requests of a higher rank that were refused a moment ago,
-        and client accounts that have got less than their fair share.
+        Those are recently refused requests of a higher priority, and of client
+        accounts that were granted less than their fair share.
 
         Parameters
         ----------
         rank : int
-            0 is first.
+            Priority; 0 is the highest.
         account : str
         now : float
         """
-        waiting = self._lately_refused(now)
-        if any(each.rank < rank for each in waiting):
+        refusals = self._recent_refusals(now)
+        if any(each.rank < rank for each in refusals):
             return True
-        starved = {each.account for each in waiting if each.rank == rank}
-        starved.discard(account)
-        if not starved:
+        competitors = {each.account for each in refusals if each.rank == rank}
+        competitors.discard(account)
+        if not competitors:
             return False
-        got = self._got(rank, account)
-        fair = sum(got.values()) / len(got)
-        if got[account] < fair + 1.0:
+        granted = self._count_granted(rank, account)
+        fair_share = sum(granted.values()) / len(granted)
+        if granted[account] < fair_share + 1.0:
             return False
-        return any(got[name] < fair for name in starved)
+        return any(granted[name] < fair_share for name in competitors)
 
-    def _got(self, rank, account):
-        """Count the turns of client accounts of a rank."""
-        got = {account: 0}
+    def _count_granted(self, rank, account):
+        """Count the granted requests of a rank by client account."""
+        granted = {account: 0}
         for each in self.decisions:
             if each.rank == rank:
-                got[each.account] = got.get(each.account, 0) + each.granted
-        return got
+                granted[each.account] = (
+                    granted.get(each.account, 0) + each.granted
+                )
+        return granted
 
 
 def make_fairness():
-    """Make a `Fairness` that knows of no request."""
+    """Make a `Fairness` without decisions."""
     return Fairness()
--- a/packages/policy/ibisring_policy/gateway/requestdigest.py
+++ b/packages/policy/ibisring_policy/gateway/requestdigest.py
@@ -1,36 +1,36 @@
-"""What tells that two attempts of callers are the same request.
+"""Digests that identify repeated submissions of the same request.
 
-Callers name each attempt anew, so that its name says nothing about an earlier
-one.  What a request asks for, and for whom, does.
+Callers choose a new id for each submission, so that the id does not identify
+the request.  Its content and its account do.
 """
 
 __all__ = ['compute', 'DIGEST_BYTES']
 
 import hashlib
 
-# Short enough to be told in a datagram; an account that looks for two
-# requests with one digest finds only its own.
+# Short enough for gossip datagrams.  The digest is keyed by the account, so
+# that an account that searches for collisions finds only its own requests.
 DIGEST_BYTES = 8
-# The longest key that the hash takes, in bytes.
+# The longest key that the hash accepts.
 _KEY_BYTES = 64
 
 
 def compute(account, method, host, target, body):
-    """Give the digest of a request.
+    """Return the digest of a request.
 
     Parameters
     ----------
     account : str
-        The client account's name, which keys the digest; '' without one.
+        Name of the client account, used as the key; '' without one.
     method, host, target : str
-        `target` is the path with its query, which counts only where the
-        request has no body.
+        `target` is the path with its query, which is ignored if the request
+        has a body.
     body : bytes
 
     Returns
     -------
     bytes
-        Of `DIGEST_BYTES`.
+        Of length `DIGEST_BYTES`.
 
     Examples
     --------
@@ -42,9 +42,9 @@
     """
     path = target.partition('?')[0] if body else target
     key = account.encode()[:_KEY_BYTES]
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES, key=key)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES, key=key)
     for part in (method.upper(), host.lower(), path):
         data = part.encode()
-        found.update(len(data).to_bytes(4, 'big') + data)
-    found.update(body)
-    return found.digest()
+        hasher.update(len(data).to_bytes(4, 'big') + data)
+    hasher.update(body)
+    return hasher.digest()
--- a/packages/policy/ibisring_policy/gateway/routetable.py
+++ b/packages/policy/ibisring_policy/gateway/routetable.py
@@ -7,7 +7,7 @@
 
 
 class Match(msgspec.Struct):
-    """A request's route, its account's name and its rank (0 is first)."""
+    """A request's route, account name and priority (0 is the highest)."""
 
     route: object
     account: str
@@ -15,7 +15,7 @@
 
 
 class Index:
-    """A routing table prepared for look-ups.
+    """A routing table indexed for look-up.
 
     Parameters
     ----------
@@ -38,14 +38,14 @@
                 self.account_of[key] = account
 
     def find(self, host, path, key):
-        """Give the match of a request.
+        """Return the match of a request.
 
         Parameters
         ----------
         host, path : str
-            The longest prefix of the host's routes wins.
+            The route of the host with the longest matching prefix is used.
         key : str or None
-            The caller's key.
+            The API key of the caller.
 
         Returns
         -------
@@ -54,11 +54,11 @@
         Raises
         ------
         NotFound
-            No route takes the request.
+            No route matches the request.
         Unauthorized
-            The route wants a key that some account holds.
+            The route requires the key of an account.
         """
-        route = self._route(host, path)
+        route = self._find_route(host, path)
         if self.table.accounts is None or route.public:
             account = self.account_of.get(key)
         else:
@@ -70,7 +70,7 @@
             priority = account.priority
         return Match(route, account.name if account else '', priority)
 
-    def _route(self, host, path):
+    def _find_route(self, host, path):
         name = host.lower().partition(':')[0]
         for route in self.by_host.get(name, ()):
             if path.startswith(route.prefix):
@@ -78,18 +78,18 @@
         raise exceptions.NotFound(f'no route for {host}{path}')
 
     def pick_service(self, route, draw):
-        """Give the service that a request goes to.
+        """Choose the service for a request, by the weights of the targets.
 
         Parameters
         ----------
         route : routing.Route
         draw : float
-            Random, from 0 up to, without, 1.
+            Random number from the interval [0, 1).
 
         Returns
         -------
         routing.Service or None
-            None if the route names no service in force.
+            None if the table does not contain the chosen service.
         """
         total = sum(target.weight for target in route.targets)
         point = draw * total
@@ -101,5 +101,5 @@
 
 
 def make_index(table):
-    """Prepare a routing table."""
+    """Index a routing table."""
     return Index(table)
--- a/packages/policy/ibisring_policy/gateway/shutdown.py
+++ b/packages/policy/ibisring_policy/gateway/shutdown.py
@@ -1,31 +1,31 @@
-"""When a process that was told to end may do so."""
+"""When a process that received a shutdown request may exit."""
 
 __all__ = ['may_exit', 'ACCEPT_SECONDS']
 
-# A balancer that asks each second and believes two bad answers sends new
-# connections for up to this many seconds more; they are served as usual.
+# A load balancer that checks once a second and removes a router after two
+# failed checks sends new connections for up to this time; they are served.
 ACCEPT_SECONDS = 2.5
-# Before the forced end of the process, in seconds: time to close down.
-MARGIN = 0.6
+# Time reserved for closing down before the process is killed.
+MARGIN_SECONDS = 0.6
 
 
 def may_exit(elapsed, active, grace):
-    """Say whether to end now.
+    """Whether to exit now.
 
     Parameters
     ----------
     elapsed : float
-        Seconds since the request to end.
+        Seconds since the shutdown request.
     active : int
-        Requests under way.
+        Running requests.
     grace : float
-        Seconds between that request and the forced end.
+        Seconds from the shutdown request until the process is killed.
 
     Examples
     --------
     >>> may_exit(1.0, 0, 8.0), may_exit(3.0, 0, 8.0), may_exit(3.0, 2, 8.0)
     (False, True, False)
     """
-    if elapsed >= grace - MARGIN:
+    if elapsed >= grace - MARGIN_SECONDS:
         return True
     return elapsed >= min(ACCEPT_SECONDS, grace / 2.0) and active == 0
--- a/packages/policy/ibisring_policy/gateway/tablechanges.py
+++ b/packages/policy/ibisring_policy/gateway/tablechanges.py
@@ -1,7 +1,7 @@
-"""What differs between two versions of a routing table.
+"""The difference between two versions of a routing table.
 
-Most new versions change one route or one account of hundreds.  A table that
-goes whole to each router fills the link of a small VM for longer than streams
+Most new versions change one route or one account of hundreds.  Sending whole
+tables to each router would fill the link of a small VM for longer than streams
 may pause.
 """
 
@@ -14,8 +14,8 @@
 class TableChange(msgspec.Struct, array_like=True):
     """Turns the table of version `base` into that of `version`.
 
-    `routes`, `services` and `accounts` are new or have changed; those named
-    in the three other lists are left out.
+    `routes`, `services` and `accounts` contain new and changed items; the
+    three other lists contain the names of removed ones.
     """
 
     base: int
@@ -25,13 +25,13 @@
     routes: list[routing.Route] = []
     services: list[routing.Service] = []
     accounts: list[routing.Account] = []
-    no_routes: list[str] = []
-    no_services: list[str] = []
-    no_accounts: list[str] = []
+    removed_routes: list[str] = []
+    removed_services: list[str] = []
+    removed_accounts: list[str] = []
 
 
 def compute_change(before, after):
-    """Give the change from one table to another.
+    """Return the change from one table to another.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     Returns
     -------
     TableChange or None
-        None if it can't be told by names, since two items share one.
+        None if items can't be identified by name, since two share one.
     """
     change = TableChange(
         before.version,
@@ -48,19 +48,19 @@
         after.limits,
         after.accounts is not None,
         *(
-            _fresh(old, new)
-            for old, new in zip(_groups(before), _groups(after))
+            _added_or_changed(old, new)
+            for old, new in zip(_item_lists(before), _item_lists(after))
         ),
         *(
-            _dropped(old, new)
-            for old, new in zip(_groups(before), _groups(after))
+            _removed_names(old, new)
+            for old, new in zip(_item_lists(before), _item_lists(after))
         ),
     )
-    return change if _is_same(apply_change(before, change), after) else None
+    return change if _is_equal(apply_change(before, change), after) else None
 
 
 def apply_change(table, change):
-    """Give the table that a change makes of another one.
+    """Return the table that results from a change.
 
     Parameters
     ----------
@@ -72,43 +72,45 @@
     -------
     routing.RoutingTable
     """
-    routes, services, accounts = _groups(table)
-    accounts = _merged(accounts, change.accounts, change.no_accounts)
+    routes, services, accounts = _item_lists(table)
+    accounts = _merge_items(accounts, change.accounts, change.removed_accounts)
     return routing.RoutingTable(
         version=change.version,
-        routes=_merged(routes, change.routes, change.no_routes),
-        services=_merged(services, change.services, change.no_services),
+        routes=_merge_items(routes, change.routes, change.removed_routes),
+        services=_merge_items(
+            services, change.services, change.removed_services
+        ),
         accounts=accounts if change.has_accounts else None,
         limits=change.limits,
     )
 
 
-def _groups(table):
+def _item_lists(table):
     return table.routes, table.services, table.accounts or ()
 
 
-def _fresh(before, after):
+def _added_or_changed(before, after):
     known = set(before)
     return [each for each in after if each not in known]
 
 
-def _dropped(before, after):
+def _removed_names(before, after):
     names = {each.name for each in after}
     return [each.name for each in before if each.name not in names]
 
 
-def _merged(before, fresh, dropped):
-    names = set(dropped)
-    found = {each.name: each for each in before if each.name not in names}
-    found.update((each.name, each) for each in fresh)
-    return tuple(found.values())
+def _merge_items(before, changed, removed):
+    names = set(removed)
+    merged = {each.name: each for each in before if each.name not in names}
+    merged.update((each.name, each) for each in changed)
+    return tuple(merged.values())
 
 
-def _is_same(one, other):
-    """Say whether two tables mean the same, whatever their order."""
+def _is_equal(one, other):
+    """Whether two tables have the same items, in any order."""
     if (one.accounts is None) != (other.accounts is None):
         return False
     return all(
         len(left) == len(right) and set(left) == set(right)
-        for left, right in zip(_groups(one), _groups(other))
+        for left, right in zip(_item_lists(one), _item_lists(other))
     )
--- a/packages/policy/ibisring_policy/gateway/tests/test_adaptivetimeout.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_adaptivetimeout.py
@@ -1,45 +1,45 @@
-"""Tests of waiting for as long as answers take."""
+"""Tests of timeouts that are estimated from response times."""
 
 import random
 
 from ibisring_policy.gateway import adaptivetimeout
 
 
-def _mistakes(answer, count=200):
-    """Count the answers that come after the limit of their moment."""
-    limit = adaptivetimeout.make_adaptive_timeout(0.035, 0.15)
+def _count_false_timeouts(answer, count=200):
+    """Count the answers that come after the timeout in effect."""
+    timeout = adaptivetimeout.make_adaptive_timeout(0.035, 0.15)
     late = 0
     for _ in range(count):
         seconds = answer()
-        if seconds > limit.seconds:
+        if seconds > timeout.seconds:
             late += 1
-            limit.false_timeout()
-        limit.answered(min(seconds, limit.max_seconds))
+            timeout.false_timeout()
+        timeout.answered(min(seconds, timeout.max_seconds))
     return late
 
 
-def test_a_busy_site_takes_few_living_engines_for_lost():
+def test_a_busy_site_has_few_false_timeouts():
     """Symptom: a fifth of the requests is refused long after a fault.
 
-    Sequence: beside other work all engines answer their status after 40
-    to 70 ms; each is taken for lost, and its layers are moved.
-    Cause: the limit was 35 ms whatever answers took.
+    Sequence: under load all engines answer status queries after 40 to 70 ms;
+    each is considered lost, and its layers are moved.
+    Cause: the timeout was fixed at 35 ms.
     """
     rng = random.Random(1)
-    assert _mistakes(lambda: rng.uniform(0.04, 0.07)) <= 5
+    assert _count_false_timeouts(lambda: rng.uniform(0.04, 0.07)) <= 5
 
 
-def test_a_calm_site_waits_no_longer_than_before():
-    limit = adaptivetimeout.make_adaptive_timeout(0.035, 0.15)
+def test_fast_answers_keep_the_minimum_timeout():
+    timeout = adaptivetimeout.make_adaptive_timeout(0.035, 0.15)
     for _ in range(100):
-        limit.answered(0.002)
-    assert limit.seconds == 0.035
+        timeout.answered(0.002)
+    assert timeout.seconds == 0.035
 
 
-def test_one_late_answer_is_soon_forgotten():
-    limit = adaptivetimeout.make_adaptive_timeout(0.035, 0.15)
-    limit.answered(0.1)
-    assert limit.seconds > 0.1
+def test_the_effect_of_one_slow_answer_decays():
+    timeout = adaptivetimeout.make_adaptive_timeout(0.035, 0.15)
+    timeout.answered(0.1)
+    assert timeout.seconds > 0.1
     for _ in range(40):
-        limit.answered(0.002)
-    assert limit.seconds == 0.035
+        timeout.answered(0.002)
+    assert timeout.seconds == 0.035
--- a/packages/policy/ibisring_policy/gateway/tests/test_requestdigest.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_requestdigest.py
@@ -1,4 +1,4 @@
-"""Tests of what makes two attempts the same request."""
+"""Tests of the digests that identify requests."""
 
 from ibisring_policy.gateway import requestdigest
 import pytest
@@ -24,14 +24,14 @@
         {'host': 'h/a', 'target': '/x'},
     ],
 )
-def test_another_request_has_another_digest(changes):
+def test_different_requests_have_different_digests(changes):
     assert _digest(**changes) != _digest()
 
 
-def test_a_query_counts_where_there_is_no_body():
-    asked = {_digest(target=f'/a/x?id={n}', body=b'') for n in range(3)}
-    assert len(asked) == 3
+def test_the_query_is_part_of_a_request_without_a_body():
+    digests = {_digest(target=f'/a/x?id={n}', body=b'') for n in range(3)}
+    assert len(digests) == 3
 
 
-def test_a_long_account_name_is_taken():
+def test_a_long_account_name_is_accepted():
     assert len(_digest(account='ñ' * 200)) == requestdigest.DIGEST_BYTES
--- a/packages/policy/ibisring_policy/gateway/tests/test_routetable.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_routetable.py
@@ -12,7 +12,7 @@
     return routetable.make_index(build.table(1, routes, accounts))
 
 
-def test_the_longest_prefix_of_the_host_wins():
+def test_the_longest_matching_prefix_is_used():
     index = _index(
         build.route(name='short', prefix='/a/'),
         build.route(name='long', prefix='/a/b/'),
@@ -22,14 +22,14 @@
     assert index.find('h.example', '/a/x', None).route.name == 'short'
 
 
-def test_no_route_is_not_found():
+def test_a_request_without_a_route_is_not_found():
     with pytest.raises(exceptions.NotFound):
         _index(build.route()).find('h.example', '/b/', None)
     with pytest.raises(exceptions.NotFound):
         _index(build.route()).find('unknown', '/a/', None)
 
 
-def test_keys_name_the_account_and_its_rank():
+def test_a_key_gives_the_account_and_its_priority():
     accounts = (
         routing.Account('kitchen', ('k1', 'k2'), 0),
         routing.Account('office', ('k3',)),
@@ -48,7 +48,7 @@
     assert index.find('h.example', '/o/', None).account == ''
 
 
-def test_an_account_without_keys_lets_nobody_in():
+def test_an_account_without_keys_authorizes_no_request():
     index = _index(build.route(), accounts=(routing.Account('x', ()),))
     with pytest.raises(exceptions.Unauthorized):
         index.find('h.example', '/a/', None)
@@ -62,7 +62,7 @@
     assert names.count('lookup') == 90
 
 
-def test_a_service_that_is_not_in_force_is_none():
+def test_a_service_missing_from_the_table_is_none():
     route = build.route(targets=(routing.Target('gone', 1.0),))
     assert _index(route).pick_service(route, 0.5) is None
 
--- a/packages/policy/ibisring_policy/gateway/tests/test_tablechanges.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_tablechanges.py
@@ -1,4 +1,4 @@
-"""Tests of what differs between two routing tables."""
+"""Tests of the difference between two routing tables."""
 
 import hypothesis
 from hypothesis import strategies
@@ -33,19 +33,21 @@
 
 
 @hypothesis.given(ROUTES, ACCOUNTS, ROUTES, ACCOUNTS)
-def test_a_change_makes_one_table_of_the_other(routes, keys, later, others):
+def test_a_change_turns_one_table_into_the_other(routes, keys, later, others):
     before, after = _table(1, routes, keys), _table(2, later, others)
     change = tablechanges.compute_change(before, after)
     data = msgspec.msgpack.encode(change)
-    told = msgspec.msgpack.decode(data, type=tablechanges.TableChange)
-    assert _as_sets(tablechanges.apply_change(before, told)) == _as_sets(after)
+    decoded = msgspec.msgpack.decode(data, type=tablechanges.TableChange)
+    assert _as_sets(tablechanges.apply_change(before, decoded)) == _as_sets(
+        after
+    )
 
 
 def test_a_change_of_one_key_is_small():
-    """Load: a key is revoked in a table of 250 routes, told to 38 routers.
+    """Load: a key is revoked in a table of 250 routes, sent to 38 routers.
 
-    Whole, it filled the links of small VMs for 0.1 s; the streams that pass
-    there paused, and some were cut.
+    The whole table filled the links of small VMs for 0.1 s; the streams
+    through them paused, and some were interrupted.
     """
     routes = {f'route {n}': 0 for n in range(250)}
     before = _table(1, routes, {'a': ['x', 'y'], 'b': ['z']})
@@ -54,8 +56,8 @@
     assert len(data) < 200 < len(msgspec.msgpack.encode(after)) / 100
 
 
-def test_items_of_one_name_are_not_told():
-    """Failure: two routes of one name, of which a change could name one."""
+def test_there_is_no_change_to_a_table_with_duplicate_names():
+    """Failure: of two routes of one name a change would contain only one."""
     before = _table(1, {'a': 0}, None)
     twice = [build.route(name='a'), build.route(name='a', prefix='/other/')]
     assert tablechanges.compute_change(before, build.table(2, twice)) is None
