--- a/packages/policy/ibisring_policy/gateway/peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/peerreports.py
@@ -22,7 +22,7 @@
 COUNT_WARMUP_SECONDS = 2.0
 # How long a router's report of the store is used.
 STORE_STATUS_SECONDS = 2.5
-SECOND_MS = 1000.0
+MS_PER_SECOND = 1000.0
 # Default for a domain without a reported number: report time and number.
 _NO_REPORT = (-math.inf, 0)
 
@@ -107,7 +107,7 @@
         now : float
         """
         for domain, (count, age_ms) in counts.items():
-            reported_at = now - age_ms / SECOND_MS
+            reported_at = now - age_ms / MS_PER_SECOND
             if reported_at > self.reported_counts.get(domain, _NO_REPORT)[0]:
                 self.reported_counts[domain] = reported_at, count
             if domain == sender_domain:
@@ -169,7 +169,7 @@
     def counts_to_send(self, now):
         """Return the counts of routers that `receive_counts` takes."""
         counts = {
-            domain: (count, int((now - at) * SECOND_MS))
+            domain: (count, int((now - at) * MS_PER_SECOND))
             for domain, (at, count) in self._unexpired(
                 self.first_hand_counts, now
             ).items()
--- a/packages/policy/ibisring_policy/gateway/ratelimits.py
+++ b/packages/policy/ibisring_policy/gateway/ratelimits.py
@@ -1,10 +1,10 @@
 """How much of an endpoint's rate limit this router may use.
 
-An overloaded endpoint declares the rate of requests that it accepts from all
+An endpoint may declare the rate of requests that it accepts from all
 routers together.  The rate is divided equally among the failure domains with
 demand for the endpoint, and within one among a few of its routers with demand,
 so that each of these may send now and then.  There is no agreement protocol:
-each router decides by the updates it has received lately.  What the fleet
+each router decides by the updates it has received recently.  What the fleet
 sends beyond the limit while views differ is bounded, since a share accumulates
 for a moment only.
 """
@@ -39,7 +39,7 @@
 # Bounds on the limits that are kept, and on those in one update.
 MAX_LIMITS = 500
 MAX_SENT = 24
-SECOND_MS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 class LimitUpdate(msgspec.Struct, array_like=True):
@@ -247,7 +247,7 @@
     def retry_after(self, endpoints, refused, now, draw):
         """Return the seconds after which a refused caller should retry.
 
-        Callers that were refused lately retry too; the retries are spread
+        Callers that were refused recently retry too; the retries are spread
         over the time in which the endpoints accept as many requests.
 
         Parameters
@@ -255,7 +255,7 @@
         endpoints : collection of str
             Those that could have served the request.
         refused : int
-            Requests that were refused lately.
+            Requests that were refused recently.
         now : float
         draw : float
             Random number from the interval [0, 1).
@@ -322,7 +322,7 @@
         demand_times = [limit.demand_at, *limit.router_demand.values()]
         return LimitUpdate(
             limit.rate,
-            int((now - limit.declared_at) * SECOND_MS),
+            int((now - limit.declared_at) * MS_PER_SECOND),
             limit.started,
             _age_ms(limit.demand_at, now),
             _age_ms(max(demand_times), now),
@@ -369,7 +369,7 @@
                 # A known rate is not recorded again: each hop would make it
                 # look younger by the hop's delay, so that it would outlast
                 # its removal.
-                declared_at = now - update.age_ms / SECOND_MS
+                declared_at = now - update.age_ms / MS_PER_SECOND
                 if self.record_rate(
                     name, update.started, update.rate, declared_at, now
                 ):
@@ -394,14 +394,14 @@
 
 def _record_demand(times, name, age_ms, now):
     if age_ms is not None and age_ms >= 0:
-        at = now - age_ms / SECOND_MS
+        at = now - age_ms / MS_PER_SECOND
         times[name] = max(at, times.get(name, at))
 
 
 def _age_ms(at, now):
     """Return the age of demand in milliseconds, None if it has expired."""
     age = now - at
-    return int(age * SECOND_MS) if age < DEMAND_SECONDS else None
+    return int(age * MS_PER_SECOND) if age < DEMAND_SECONDS else None
 
 
 def _hash_fraction(endpoint, router):
--- a/packages/policy/ibisring_policy/gateway/suspects.py
+++ b/packages/policy/ibisring_policy/gateway/suspects.py
@@ -48,7 +48,7 @@
 NEW_SECONDS = 2.0
 MAX_NEW_SENT = 16
 MAX_OLD_SENT = 4
-SECOND_MS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 class SuspectUpdate(msgspec.Struct, array_like=True):
@@ -268,12 +268,12 @@
     def _make_update(self, digest, now):
         suspect = self.by_digest[digest]
         crashes = {
-            crash_id: int((now - at) * SECOND_MS)
+            crash_id: int((now - at) * MS_PER_SECOND)
             for crash_id, at in suspect.crashes.items()
         }
         cleared_ms = None
         if now - suspect.cleared_at < CLEARED_TTL_SECONDS:
-            cleared_ms = int((now - suspect.cleared_at) * SECOND_MS)
+            cleared_ms = int((now - suspect.cleared_at) * MS_PER_SECOND)
         return SuspectUpdate(digest, crashes, cleared_ms)
 
     def receive_updates(self, updates, now):
@@ -294,11 +294,11 @@
     def _merge(self, update, now):
         cleared_at = -1e9
         if update.cleared_ms is not None:
-            cleared_at = now - update.cleared_ms / SECOND_MS
+            cleared_at = now - update.cleared_ms / MS_PER_SECOND
         crashes = {
-            crash_id: now - age / SECOND_MS
+            crash_id: now - age / MS_PER_SECOND
             for crash_id, age in update.crashes.items()
-            if 0 <= age <= SUSPECT_TTL_SECONDS * SECOND_MS
+            if 0 <= age <= SUSPECT_TTL_SECONDS * MS_PER_SECOND
         }
         if not crashes and update.digest not in self.by_digest:
             return False
--- a/packages/policy/ibisring_policy/gateway/tests/test_routetable.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_routetable.py
@@ -67,7 +67,7 @@
     assert _index(route).pick_service(route, 0.5) is None
 
 
-def test_a_stream_may_be_repeated_only_if_it_resumes():
+def test_a_stream_may_be_retried_only_if_it_resumes():
     kind = routing.Kind.STREAM
     assert build.route(kind=kind, resumable=True).repeatable
     assert not build.route(kind=kind).repeatable
