--- a/packages/gateway/ibisring_gateway/asking.py
+++ b/packages/gateway/ibisring_gateway/asking.py
@@ -5,7 +5,7 @@
 import concurrent.futures
 import logging
 
-from ibisring_policy.gateway import loadbook
+from ibisring_policy.gateway import estimates
 from ibisring_policy.gateway import patience
 from ibisring_records import exceptions
 from ibisring_router import logs
@@ -102,10 +102,10 @@
     def _note_pace(self, endpoint, status):
         now = self.clock()
         with self.view.lock:
-            before = self.view.book.pace(endpoint.id, now)
-            self.view.book.note_pace(endpoint.id, status.pace, now)
-            after = self.view.book.pace(endpoint.id, now)
-        if (before < loadbook.SLOW) != (after < loadbook.SLOW):
+            before = self.view.book.slowdown(endpoint.id, now)
+            self.view.book.note_slowdown(endpoint.id, status.pace, now)
+            after = self.view.book.slowdown(endpoint.id, now)
+        if (before < estimates.SLOW_FACTOR) != (after < estimates.SLOW_FACTOR):
             logs.event(LOG, 'pace', endpoint=endpoint.id, pace=status.pace)
 
     def _revive(self, endpoint):
@@ -114,9 +114,9 @@
         with self.view.lock:
             if alive:
                 self.patience.late_but_alive()
-                self.view.book.reached(endpoint.id, now)
+                self.view.book.note_reachable(endpoint.id, now)
             else:
-                self.view.book.unreachable(endpoint.id, now)
+                self.view.book.note_unreachable(endpoint.id, now)
         logs.event(LOG, 'asked_again', endpoint=endpoint.id, alive=alive)
 
 
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -289,14 +289,14 @@
         )
         self.connections.forget(usable)
         with self.view.lock:
-            self.view.book.keep_only(usable)
+            self.view.book.retain(usable)
             self.view.limits.keep_only(usable)
             for endpoint in usable.values():
                 self.view.limits.started(endpoint.id, endpoint.started)
-                belief = self.view.book.of(endpoint.id)
+                belief = self.view.book.get(endpoint.id)
                 if belief.started != endpoint.started:
                     belief.started = endpoint.started
-                    self.view.book.reached(endpoint.id, now)
+                    self.view.book.note_reachable(endpoint.id, now)
         logs.event(
             LOG,
             'endpoints',
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -65,7 +65,7 @@
             if attempt.stages:
                 self._examine_chain(attempt)
             else:
-                attempt.break_off(attempts.End.SILENT)
+                attempt.break_off(attempts.Result.SILENT)
         except Exception:
             LOG.exception('examination_failed %s', attempt.request_id)
         finally:
@@ -89,7 +89,7 @@
             events=attempt.events,
         )
         if attempt.endpoint.id in lost:
-            attempt.break_off(attempts.End.SILENT)
+            attempt.break_off(attempts.Result.SILENT)
             return
         # A path with a stage that was given up is refused, so those that are
         # not at fault have to be replaced as well.
@@ -105,7 +105,7 @@
         be loaded elsewhere before the caller gives up.
         """
         if self.selector.has_other(attempt, now):
-            attempt.break_off(attempts.End.SILENT)
+            attempt.break_off(attempts.Result.SILENT)
         else:
             attempt.silent_at = now + AFTER_LOOK
 
@@ -113,7 +113,7 @@
         if attempt.looks > MOST_LOOKS and self.selector.has_other(
             attempt, now
         ):
-            attempt.break_off(attempts.End.SILENT)
+            attempt.break_off(attempts.Result.SILENT)
             return
         looks = min(MOST_LOOKS, attempt.looks)
         attempt.silent_at = now + AFTER_LOOK * 2 ** (looks - 1)
@@ -142,9 +142,9 @@
         with self.view.lock:
             for endpoint in asked:
                 if endpoint.id in lost:
-                    self.view.book.unreachable(endpoint.id, now)
+                    self.view.book.note_unreachable(endpoint.id, now)
                 else:
-                    self.view.book.reached(endpoint.id, now)
+                    self.view.book.note_reachable(endpoint.id, now)
         return lost | gone
 
     def _vouched(self, attempt):
@@ -180,8 +180,8 @@
                     self.pool.submit(self._evacuate, attempt, leaving)
         with self.view.lock:
             now = self.clock()
-            names = self.view.book.to_revive(snapshot.endpoints, now)
-            slow = self.view.book.to_ask_pace(now)
+            names = self.view.book.dead_to_probe(snapshot.endpoints, now)
+            slow = self.view.book.slow_to_probe(now)
         for name in names:
             self.asker.revive(snapshot.endpoints[name])
         for name in slow:
@@ -222,7 +222,7 @@
             id=attempt.request_id,
             engines=sorted(_gave_up(attempt, endpoints)),
         )
-        attempt.break_off(attempts.End.SILENT)
+        attempt.break_off(attempts.Result.SILENT)
         return True
 
     def _go_round(self, attempt, lost):
--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -24,7 +24,7 @@
 # away; outages last seconds, and a caller comes back once or twice only.
 UNREADY_RETRY = 2.0
 SECOND_MS = 1000.0
-GOING_ON = (attempts.Next.ELSEWHERE, attempts.Next.RESUME)
+GOING_ON = (attempts.NextStep.RETRY, attempts.NextStep.RESUME)
 # Seconds that a stream under way waits for room, and between looks for it.
 RESUME_WAIT = 1.3
 RESUME_TICK = 0.05
@@ -39,7 +39,7 @@
     codec : ports.Codec
     connections : upstream.Connections
     watcher : watching.Watcher
-    window : attempts.Window
+    window : attempts.RetryBudget
     count_routers : callable
         Gives how many routers share the bound on repeats.
     metrics : metrics.Metrics
@@ -164,7 +164,7 @@
             exchange, request, match, service, started, started + limit
         )
         with self.view.lock:
-            self.window.first(started)
+            self.window.count_request(started)
         self._run(job)
         self._finish(job)
 
@@ -205,11 +205,11 @@
             progress = job.progress
             progress.time_left = job.deadline - now
             progress.delivering = job.exchange.begun
-            progress.budget = True
+            progress.has_retry_budget = True
             step = attempts.decide(end, progress)
             if step in GOING_ON and progress.sent_to:
                 with self.view.lock:
-                    progress.budget = self.window.take(
+                    progress.has_retry_budget = self.window.take_retry(
                         now, self.count_routers()
                     )
                 step = attempts.decide(end, progress)
@@ -229,25 +229,31 @@
             if step not in GOING_ON:
                 self._give_up(job, end, step)
                 return
-            if step is attempts.Next.RESUME and end is attempts.End.REFUSED:
+            if (
+                step is attempts.NextStep.RESUME
+                and end is attempts.Result.REFUSED
+            ):
                 self._pause(job)
 
     def _pause(self, job):
         """Let a moment pass before a stream under way is tried again."""
-        time.sleep(attempts.REFUSED_PAUSE)
+        time.sleep(attempts.REFUSAL_PAUSE_SECONDS)
         if serving.is_gone(job.exchange.socket):
             raise exchange_module.CallerLeft('between two tries')
 
     def _give_up(self, job, end, step):
-        if step is attempts.Next.DROP:
+        if step is attempts.NextStep.DROP:
             raise exchange_module.CallerLeft('the caller closed')
-        if step is attempts.Next.BREAK:
+        if step is attempts.NextStep.ABORT:
             job.exchange.abort()
             self.metrics.count('broken_off')
             job.answer = None
             return
         detail = f'the last attempt ended as {end.value}'
-        if step is attempts.Next.REFUSE and end is attempts.End.SUSPECTED:
+        if (
+            step is attempts.NextStep.REFUSE
+            and end is attempts.Result.SUSPECTED
+        ):
             raise exceptions.EndsEndpoints(
                 'endpoints have ended under this request',
                 self.screen.retry_after(job),
@@ -261,7 +267,7 @@
         if job.limited:
             limited = self.selector.turns.refuse(job, self.clock())
             retry_after = max(retry_after, limited)
-        if step is attempts.Next.REFUSE:
+        if step is attempts.NextStep.REFUSE:
             raise exceptions.NoEndpoint(detail, retry_after)
         if job.route.repeatable:
             raise exceptions.Interrupted(detail, retry_after)
@@ -272,18 +278,18 @@
 
         Returns
         -------
-        attempts.End or None
+        attempts.Result or None
             None once the caller has its final answer.
         """
         if not self.screen.passes(job):
-            return attempts.End.SUSPECTED
+            return attempts.Result.SUSPECTED
         choice = self.selector.choose(job, self.clock())
         if choice is None and job.exchange.begun:
             choice = self._wait_for_choice(job)
         if choice is None and job.progress.tries:
-            job.progress.refused = attempts.MOST_REFUSED
-            job.progress.tries = attempts.MOST_TRIES
-            return attempts.End.NOT_SENT
+            job.progress.refusals = attempts.MAX_REFUSALS
+            job.progress.tries = attempts.MAX_TRIES
+            return attempts.Result.NOT_SENT
         if choice is None and job.limited:
             raise exceptions.Overloaded(
                 'endpoints take no more requests for now',
@@ -317,7 +323,7 @@
     def _may_leave(self, job, endpoint):
         """Whether another endpoint may get the request after this one."""
         sent_to = {*job.sent_to, endpoint.id}
-        return len(sent_to) < job.progress.most_endpoints
+        return len(sent_to) < job.progress.max_endpoints
 
     def _wait_for_choice(self, job):
         """Wait for room for a stream that its caller has a part of.
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -14,7 +14,7 @@
 from ibisring_gateway import directory
 from ibisring_gateway import peers as peers_module
 from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import ratelimits
 from ibisring_policy.gateway import sharing
 from ibisring_policy.gateway import suspects as suspects_module
@@ -62,7 +62,7 @@
     changed: int = 0
     table: int = 0
     slow: dict[str, float] = {}
-    touch: ordering.StoreTouch = ordering.StoreTouch.FOLLOWED
+    touch: layerorders.StoreStatus = layerorders.StoreStatus.FOLLOWING
     term: int = 0
     held: dict[str, tuple[int, int, int]] = {}
     full: list[str] = []
@@ -170,12 +170,12 @@
         """Give what this router has to tell now."""
         with self.view.lock:
             book = self.view.book
-            tokens = {n: int(each) for n, each in book.own().items()}
-            dead = book.lately_dead(now)
-            slow = book.slow(now)
+            tokens = {n: int(each) for n, each in book.own_tokens().items()}
+            dead = book.recently_dead(now)
+            slow = book.recently_slow(now)
             full = book.refusing(now)
-            loads = book.loads_to_tell(now)
-            back = book.lately_back(now)
+            loads = book.loads_to_send(now)
+            back = book.recently_recovered(now)
             share = self._old_share()
             suspects = self.view.suspects.to_tell(now, self.rng, share)
             limits = self.view.limits.to_tell(now, self.rng, share)
@@ -228,7 +228,7 @@
         news += [lost_at, known.changes, limits.changes, limits.wanted(now)]
         rows = {row.name: row for row in self.peers.others()}
         reach = min(1.0, telling.ALL_AT_ONCE / max(1, len(rows)))
-        fullest = self.view.book.fullest
+        fullest = self.view.book.max_memory_use
         urgent = [getattr(told, name) for name in _URGENT]
         urgent += [lost_at, known.found, limits.changes]
         is_urgent = self.urgent.is_fresh(now, urgent)
@@ -329,7 +329,7 @@
         """
         now = self.view.clock()
         with self.view.lock:
-            self.view.book.take_told(
+            self.view.book.merge_gossip(
                 told.router,
                 told.tokens,
                 told.dead,
@@ -337,8 +337,8 @@
                 told.slow,
                 told.full,
             )
-            self.view.book.take_loads(told.loads, now)
-            self.view.book.take_back(told.back, now)
+            self.view.book.merge_loads(told.loads, now)
+            self.view.book.merge_recovered(told.back, now)
         self._take_suspects(told, now)
         self._take_limits(told, now)
         self._hear(told, f'{source[0]}:{source[1]}', now)
--- a/packages/gateway/ibisring_gateway/jobs.py
+++ b/packages/gateway/ibisring_gateway/jobs.py
@@ -68,7 +68,7 @@
         self.progress = attempts.Progress(
             repeatable=match.route.repeatable,
             stream=match.route.kind is routing.Kind.STREAM,
-            most_endpoints=max(1, match.route.most_endpoints),
+            max_endpoints=max(1, match.route.most_endpoints),
         )
 
     def piece_came(self, now):
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -13,7 +13,7 @@
 from ibisring_gateway import ports
 from ibisring_policy.gateway import catchup
 from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import polling
 from ibisring_policy.gateway import sharing
 from ibisring_records import exceptions
@@ -22,8 +22,8 @@
 from ibisring_web import calls
 
 LOG = logging.getLogger(__name__)
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWED = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 SECOND_MS = 1000.0
 STATE_PATH = '/state'
 TABLE = 'table'
@@ -213,7 +213,7 @@
 
         Returns
         -------
-        dict of str to ordering.StoreTouch
+        dict of str to layerorders.StoreStatus
         """
         return self.hearing.touches(now)
 
--- a/packages/gateway/ibisring_gateway/placing.py
+++ b/packages/gateway/ibisring_gateway/placing.py
@@ -9,8 +9,8 @@
 
 from ibisring_gateway import directory
 from ibisring_gateway import ports
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import layers
-from ibisring_policy.gateway import ordering
 from ibisring_policy.gateway import presence
 from ibisring_policy.gateway import windows
 from ibisring_records import exceptions
@@ -74,10 +74,10 @@
         self.view = view
         self.engines = engines
         self.metrics = metrics
-        self.turn = ordering.make_turn(router_id, random.Random().random())
+        self.turn = layerorders.make_lease(router_id, random.Random().random())
         self.leases = leases
-        self.orders = ordering.make_ledger()
-        self.arrivals = ordering.Arrivals()
+        self.orders = layerorders.make_order_tracker()
+        self.arrivals = layerorders.Registrations()
         self.missing = {}
 
     def handlers(self):
@@ -97,7 +97,7 @@
         staying = self._staying(service, snapshot, now)
         if not self.arrivals.are_settled(staying, now):
             return
-        self.orders.settle(staying, now)
+        self.orders.update(staying, now)
         engines = self._engines(staying, service.model, now)
         self._tell_missing(service, staying)
         if self.view.store_lost_at is not None:
@@ -122,10 +122,10 @@
         is_whole = any(e.holding is not None for e in staying)
         with self.view.lock:
             holders = self.view.book.holders(staying, model, now)
-        loads = {h.id: h.used / h.room for h in holders if h.room > 0}
+        loads = {h.id: h.used / h.capacity for h in holders if h.capacity > 0}
         found = []
         for each in staying:
-            if self.orders.is_emptying(each, now):
+            if self.orders.is_unloading(each, now):
                 continue
             card = model.card(each.card)
             found.append(
@@ -133,9 +133,9 @@
                     each.id,
                     each.failure_domain,
                     card.memory_mb,
-                    self.orders.expected(each, now),
+                    self.orders.expected_holding(each, now),
                     each.holding,
-                    is_whole and self.arrivals.has_just_come(each, now),
+                    is_whole and self.arrivals.has_just_registered(each, now),
                     card.step_factor,
                     loads.get(each.id, 0.0),
                 )
@@ -187,13 +187,13 @@
                 continue
             if self._is_lost(each.id, now) or self._is_too_slow(each, now):
                 continue
-            if self.view.book.seems_to_leave(each.id, now):
+            if self.view.book.is_probably_leaving(each.id, now):
                 continue
             found.append(each)
         return found
 
     def _is_lost(self, name, now):
-        belief = self.view.book.beliefs.get(name)
+        belief = self.view.book.by_endpoint.get(name)
         if belief is None or not belief.dead:
             return False
         return now - belief.dead_at >= LOST_AFTER
@@ -204,7 +204,7 @@
         A stage that is many times slower falls behind with the prompts of
         its domain, and all streams there pause.
         """
-        return self.view.book.pace(endpoint.id, now) >= TOO_SLOW
+        return self.view.book.slowdown(endpoint.id, now) >= TOO_SLOW
 
     def _hold_lease(self, now):
         """Take or keep the right to order, by the store's conditional write.
@@ -213,13 +213,13 @@
         with an older view would undo what another has just ordered.
         """
         self.turn.note_term(self.view.term)
-        if self.turn.holds(time.monotonic()):
+        if self.turn.is_held(time.monotonic()):
             return True
         if self.view.snapshot.store_lost_at is not None:
             return self._leads_without_store()
         try:
             row = self.leases.read_lease()
-            wanted = self.turn.claim(row, time.monotonic())
+            wanted = self.turn.next_row(row, time.monotonic())
             if wanted is None:
                 return False
             written = self.leases.write_lease(wanted)
@@ -233,7 +233,7 @@
         if written is None:
             logs.event(LOG, 'lease_lost_race', term=wanted.term)
             return False
-        self.turn.won(now)
+        self.turn.note_acquired(now)
         self.view.term = max(self.view.term, wanted.term)
         logs.event(LOG, 'lease_taken', term=wanted.term)
         self.metrics.count('leases_taken')
@@ -245,11 +245,11 @@
             return False
         now = time.monotonic()
         heard = self.store_touches()
-        if not ordering.leads_without_store(
+        if not layerorders.leads_without_store(
             self.router_id, now - lost_at, heard
         ):
             return False
-        self.turn.take_lead(now)
+        self.turn.lead_without_store(now)
         logs.event(
             LOG,
             'leads_without_store',
@@ -267,7 +267,9 @@
         wanted : list of (routing.Endpoint, routing.Holding)
         model : routing.Model
         """
-        unknown = [e for e, _ in wanted if self.orders.count(e) is None]
+        unknown = [
+            e for e, _ in wanted if self.orders.accepted_orders(e) is None
+        ]
         for endpoint, status in zip(
             unknown, self.pool.map(self._status, unknown)
         ):
@@ -276,7 +278,7 @@
         ready = [
             (endpoint, holding)
             for endpoint, holding in wanted
-            if self.orders.count(endpoint) is not None
+            if self.orders.accepted_orders(endpoint) is not None
             and not self.orders.is_blocked(endpoint, now)
         ]
         results = list(self.pool.map(self._order, ready))
@@ -288,16 +290,21 @@
     def _order(self, wanted):
         """Send one order; None if the right to order has ended."""
         endpoint, holding = wanted
-        if not self.turn.holds(time.monotonic()):
+        if not self.turn.is_held(time.monotonic()):
             return None
         return self.engines.place(
-            endpoint, holding, self.orders.count(endpoint), self.turn.term
+            endpoint,
+            holding,
+            self.orders.accepted_orders(endpoint),
+            self.turn.term,
         )
 
     def _note_order(self, endpoint, holding, result, seconds):
-        expected = self.orders.count(endpoint)
+        expected = self.orders.accepted_orders(endpoint)
         self.metrics.count(f'orders.{result.value}')
-        self.orders.ordered(endpoint, holding, expected, result.value, seconds)
+        self.orders.note_order(
+            endpoint, holding, expected, result.value, seconds
+        )
         logs.event(
             LOG,
             'order',
@@ -310,7 +317,7 @@
             result=result.value,
         )
         if result is ports.OrderResult.STALE:
-            self.turn.lost()
+            self.turn.note_lost()
         if result is ports.OrderResult.UNKNOWN:
             self._note_unreachable(endpoint)
 
@@ -328,13 +335,13 @@
         if status is None:
             self._note_unreachable(endpoint)
         elif status.busy:
-            self.orders.busy(endpoint, time.monotonic())
+            self.orders.note_busy(endpoint, time.monotonic())
         else:
-            self.orders.counted(endpoint, status.orders)
+            self.orders.note_accepted_orders(endpoint, status.orders)
 
     def _note_unreachable(self, endpoint):
         with self.view.lock:
-            self.view.book.unreachable(endpoint.id, time.monotonic())
+            self.view.book.note_unreachable(endpoint.id, time.monotonic())
 
 
 def _load_seconds(endpoint, holding, model):
--- a/packages/gateway/ibisring_gateway/ports.py
+++ b/packages/gateway/ibisring_gateway/ports.py
@@ -112,7 +112,7 @@
 
     @abc.abstractmethod
     def read_lease(self):
-        """Give the `ordering.LeaseRow`, or None if there is none yet."""
+        """Give the `layerorders.LeaseRow`, or None if there is none yet."""
 
     @abc.abstractmethod
     def write_lease(self, row):
@@ -120,7 +120,7 @@
 
         Returns
         -------
-        ordering.LeaseRow or None
+        layerorders.LeaseRow or None
             The row with its new version; None if somebody else wrote.
 
         Raises
--- a/packages/gateway/ibisring_gateway/process.py
+++ b/packages/gateway/ibisring_gateway/process.py
@@ -64,7 +64,7 @@
         )
         self.connections = upstream.make_connections()
         self.watcher = watching.make_watcher(self._on_silence)
-        self.window = attempts.make_window(
+        self.window = attempts.make_retry_budget(
             settings.repeat_window_s,
             settings.repeat_ratio * attempts.RATIO_SHARE,
             settings.repeat_slack * attempts.SLACK_SHARE,
--- a/packages/gateway/ibisring_gateway/selecting.py
+++ b/packages/gateway/ibisring_gateway/selecting.py
@@ -7,7 +7,7 @@
 
 from ibisring_gateway import turns
 from ibisring_policy.gateway import chains
-from ibisring_policy.gateway import loadbook
+from ibisring_policy.gateway import estimates
 from ibisring_policy.gateway import shortage
 import msgspec
 
@@ -108,7 +108,7 @@
         at_risk = self._at_risk(job)
         left = [e for e in left if e.id not in at_risk] or left
         with self.view.lock:
-            ranked = self.view.book.rank_plain(left, now, self.rng.random)
+            ranked = self.view.book.rank(left, now, self.rng.random)
         return Choice(ranked[0])
 
     def _noise(self):
@@ -118,7 +118,7 @@
         model = job.service.model
         demand = self._demand(job)
         heads = None
-        if job.progress.sent_to >= job.progress.most_endpoints:
+        if job.progress.sent_to >= job.progress.max_endpoints:
             # No further endpoint may get the request, but these may again.
             heads = job.sent_to
         if job.limited:
@@ -181,7 +181,9 @@
             if each.id not in avoid
         ]
         with self.view.lock:
-            firsts.sort(key=lambda name: self.view.book.heads(name, now))
+            firsts.sort(
+                key=lambda name: self.view.book.first_stage_load(name, now)
+            )
         return firsts[: math.ceil(len(firsts) / 2)]
 
     def _demand(self, job):
@@ -201,17 +203,17 @@
         with self.view.lock:
             book = self.view.book
             holders = book.holders(endpoints, service.model, now, job.avoid)
-            left_out = book.left_out(endpoints, now, job.avoid)
+            left_out = book.excluded_ranges(endpoints, now, job.avoid)
         found = shortage.find(
-            holders, left_out, self._demand(job), chains.FULL / SQUEEZE
+            holders, left_out, self._demand(job), chains.FULL_SHARE / SQUEEZE
         )
-        return shortage.text(found)
+        return shortage.describe(found)
 
     def _find(self, endpoints, model, now, demand, heads, avoid):
         with self.view.lock:
             holders = self.view.book.holders(endpoints, model, now, avoid)
-            self.view.book.note_fullest(holders)
-        chains.vary_heads(holders, self.rng.random)
+            self.view.book.note_memory_use(holders)
+        chains.jitter_slot_use(holders, self.rng.random)
         found = chains.choose(
             holders, demand, model.layers, self._noise, heads
         )
@@ -227,7 +229,7 @@
         """
         for holder in holders:
             holder.used *= SQUEEZE
-            holder.heads *= SQUEEZE_HEADS
+            holder.slot_use *= SQUEEZE_HEADS
         return chains.choose(holders, demand, model.layers, self._noise, heads)
 
     def repair(self, attempt, lost, now):
@@ -299,7 +301,7 @@
             if attempt.stages:
                 self.view.book.reserve(attempt.stages, attempt.tokens)
             else:
-                self.view.book.of(attempt.endpoint.id).active += 1
+                self.view.book.get(attempt.endpoint.id).active += 1
 
     def release(self, attempt):
         """Take back what `reserve` counted."""
@@ -307,7 +309,7 @@
             if attempt.stages:
                 self.view.book.release(attempt.stages, attempt.tokens)
             else:
-                self.view.book.of(attempt.endpoint.id).active -= 1
+                self.view.book.get(attempt.endpoint.id).active -= 1
 
     def move(self, attempt, stages):
         """Count an attempt at other stages from now on."""
@@ -332,7 +334,7 @@
         attempt.events += 1
         if attempt.events == 1 and attempt.stages:
             with self.view.lock:
-                self.view.book.accepted(
+                self.view.book.note_accepted(
                     [s.endpoint for s in attempt.stages], attempt.sent_at
                 )
         if attempt.events > 1:
@@ -356,12 +358,14 @@
         are being given up.
         """
         if answer.wrong_endpoint and not attempt.stages:
-            self.view.book.unreachable(culprit, now)
+            self.view.book.note_unreachable(culprit, now)
         elif attempt.stages and now - attempt.last_at > STALLED:
-            self.view.book.unreachable(culprit, now)
+            self.view.book.note_unreachable(culprit, now)
         else:
-            has_memory = self._used(attempt, culprit) < loadbook.HAS_MEMORY
-            self.view.book.full(culprit, now, has_memory=has_memory)
+            has_memory = (
+                self._used(attempt, culprit) < estimates.MEMORY_AVAILABLE_SHARE
+            )
+            self.view.book.note_refusal(culprit, now, has_memory=has_memory)
 
     def _used(self, attempt, name):
         """Give the share of an engine's memory that is believed taken."""
@@ -373,7 +377,7 @@
         now = self.view.clock()
         book = self.view.book
         for holder in book.holders([endpoint], service.model, now):
-            return holder.used / holder.room if holder.room else 1.0
+            return holder.used / holder.capacity if holder.capacity else 1.0
         return 1.0
 
     def retry_after(self, service):
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -55,7 +55,7 @@
 
         Returns
         -------
-        attempts.End or None
+        attempts.Result or None
             None once the caller has its final answer.
         """
         endpoint = attempt.endpoint
@@ -111,7 +111,7 @@
         name = attempt.endpoint.id
         job.avoid.add(name)
         with self.view.lock:
-            self.view.book.unreachable(name, self.clock())
+            self.view.book.note_unreachable(name, self.clock())
         logs.event(
             LOG,
             'endpoint_unreachable',
@@ -120,16 +120,16 @@
             address=attempt.endpoint.address,
             why=str(error),
         )
-        return attempt.end or attempts.End.NOT_SENT
+        return attempt.end or attempts.Result.NOT_SENT
 
     def _lost(self, job, attempt, error):
         """Sort a failure after the request was written."""
         job.progress.may_have_run = True
         has_ended = self.screen.lost(job, attempt)
-        if attempt.end is None or attempt.end is attempts.End.SILENT:
+        if attempt.end is None or attempt.end is attempts.Result.SILENT:
             job.avoid.add(attempt.endpoint.id)
             with self.view.lock:
-                self.view.book.answered(
+                self.view.book.note_response(
                     attempt.endpoint.id, True, self.clock()
                 )
         logs.event(
@@ -144,7 +144,7 @@
             events=attempt.events,
             why=str(error),
         )
-        return attempt.end or attempts.End.LOST
+        return attempt.end or attempts.Result.LOST
 
     def _receive(self, job, attempt, conn, response):
         answer = self.codec.decode_answer(response.status, response.headers)
@@ -155,9 +155,9 @@
             conn.close()
             return self._lost(job, attempt, 'answer to another request')
         with self.view.lock:
-            self.view.book.reached(name, now)
+            self.view.book.note_reachable(name, now)
             if answer.load is not None:
-                self.view.book.report(name, answer.load, now)
+                self.view.book.note_load(name, answer.load, now)
         self._note_limit(attempt, answer, now)
         if answer.refused:
             response.drain_conn()
@@ -219,7 +219,7 @@
     def _refused(self, job, attempt, answer):
         """The endpoint, or a stage behind it, did not run the request."""
         culprit = self.selector.culprit(attempt, answer)
-        job.progress.refused += 1
+        job.progress.refusals += 1
         job.avoid.add(culprit)
         with self.view.lock:
             self.selector.blame(attempt, culprit, answer, self.clock())
@@ -232,7 +232,7 @@
             status=answer.status,
             load=answer.load,
         )
-        return attempts.End.REFUSED
+        return attempts.Result.REFUSED
 
     def _relay_whole(self, job, attempt, response, answer):
         """Pass a plain answer on once it is whole."""
@@ -256,10 +256,12 @@
         self.screen.answered(job)
         failed = answer.status >= 500
         with self.view.lock:
-            self.view.book.answered(attempt.endpoint.id, failed, self.clock())
+            self.view.book.note_response(
+                attempt.endpoint.id, failed, self.clock()
+            )
         if failed and self._may_try_again(job):
             job.avoid.add(attempt.endpoint.id)
-            return attempts.End.LOST
+            return attempts.Result.LOST
         job.answer = answer
         job.piece_came(self.clock())
         job.exchange.answer(answer.status, answer.headers, b''.join(pieces))
@@ -271,8 +273,9 @@
         return (
             progress.repeatable
             and not job.exchange.begun
-            and progress.sent_to < progress.most_endpoints
-            and job.deadline - self.clock() > 2 * attempts.LEAST_TIME
+            and progress.sent_to < progress.max_endpoints
+            and job.deadline - self.clock()
+            > 2 * attempts.MIN_TIME_LEFT_SECONDS
         )
 
     def _relay_stream(self, job, attempt, response, answer):
@@ -300,7 +303,9 @@
         if attempt.end is not None:
             return self._lost(job, attempt, 'broken off')
         with self.view.lock:
-            self.view.book.answered(attempt.endpoint.id, False, self.clock())
+            self.view.book.note_response(
+                attempt.endpoint.id, False, self.clock()
+            )
         if not exchange.begun:
             exchange.begin(answer.status, _streamed(answer.headers))
         exchange.write(job.splitter.rest)
--- a/packages/gateway/ibisring_gateway/tests/builders.py
+++ b/packages/gateway/ibisring_gateway/tests/builders.py
@@ -4,7 +4,7 @@
 
 from ibisring_gateway import ports
 from ibisring_gateway import view as view_module
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import routetable
 from ibisring_policy.gateway.tests import builders as policybuilders
 from ibisring_records import exceptions
@@ -54,7 +54,7 @@
         if row.version != self.version:
             return None
         self.version += 1
-        self.row = ordering.LeaseRow(row.holder, row.term, self.version)
+        self.row = layerorders.LeaseRow(row.holder, row.term, self.version)
         return self.row
 
     def write_router(self, row):
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -109,7 +109,7 @@
     scene.engines.dead.add('h:1')
     scene.doctor.silent(scene.attempt)
     scene.settle()
-    assert scene.attempt.end is attempts.End.SILENT
+    assert scene.attempt.end is attempts.Result.SILENT
     assert scene.engines.moved == []
 
 
@@ -224,7 +224,7 @@
         _engine('t2', 40, 80, card='big'),
     ]
     for spares, may_leave, end in (
-        (others, True, attempts.End.SILENT),
+        (others, True, attempts.Result.SILENT),
         (others, False, None),
         (others[1:], True, None),
     ):
@@ -257,7 +257,7 @@
 
 
 def test_the_dead_are_asked_again(scene):
-    scene.view.book.unreachable('t', time.monotonic() - 10.0)
+    scene.view.book.note_unreachable('t', time.monotonic() - 10.0)
     scene.doctor.look_round()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
@@ -272,7 +272,7 @@
     Cause: it had to answer that within the same 35 ms.
     """
     scene.engines.late['t:1'] = 0.05
-    scene.view.book.unreachable('t', time.monotonic() - 10.0)
+    scene.view.book.note_unreachable('t', time.monotonic() - 10.0)
     scene.doctor.look_round()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
@@ -290,7 +290,7 @@
         scene.engines.late[name] = 0.05
     now = time.monotonic()
     for name in ('h', 'm', 't', 'm2'):
-        scene.view.book.unreachable(name, now - 10.0)
+        scene.view.book.note_unreachable(name, now - 10.0)
     scene.doctor.look_round()
     time.sleep(0.3)
     assert scene.doctor.asker.patience.limit > 0.05
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -12,14 +12,14 @@
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import catchup
 from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import polling
 from ibisring_policy.gateway import sharing
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import routing
 
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWED = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 
 
 def _reads():
--- a/packages/gateway/ibisring_gateway/tests/test_placing.py
+++ b/packages/gateway/ibisring_gateway/tests/test_placing.py
@@ -7,7 +7,7 @@
 from ibisring_gateway import placing
 from ibisring_gateway import ports
 from ibisring_gateway.tests import builders
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import presence
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import exceptions
@@ -44,7 +44,7 @@
         (told if told is not None else []).append,
         lambda: None,
     )
-    placer.turn = ordering.make_turn('r1', 0.0)
+    placer.turn = layerorders.make_lease('r1', 0.0)
     placer.arrivals.changed_at = -100.0
     return placer
 
@@ -79,7 +79,7 @@
     Cause: both see it at the same moment.
     """
     leases, engines = builders.Leases(), builders.Engines()
-    leases.row = ordering.LeaseRow('r2', 1, 1)
+    leases.row = layerorders.LeaseRow('r2', 1, 1)
     leases.version = 1
     left = [e for e in _endpoints() if e.id != LOST]
     placer = _placer(builders.view_of(left), leases, engines)
@@ -117,7 +117,7 @@
     Cause: orders needed the store, although each engine itself refuses
     those that do not carry its count.
     """
-    lost = ordering.StoreTouch.LOST
+    lost = layerorders.StoreStatus.LOST
     placer, engines = _placer_without_store({'r2': lost, 'r3': lost})
     _look(placer, times=5)
     names = [name for name, _, _ in engines.placed]
@@ -128,8 +128,8 @@
 @pytest.mark.parametrize(
     'touches',
     [
-        {'r2': ordering.StoreTouch.FOLLOWED},
-        {'r0': ordering.StoreTouch.LOST},
+        {'r2': layerorders.StoreStatus.FOLLOWING},
+        {'r0': layerorders.StoreStatus.LOST},
     ],
 )
 def test_others_do_not_order_while_the_store_is_away(touches):
@@ -177,15 +177,15 @@
     leases.fails = exceptions.PlatformUnavailable('503')
     _look(placer)
     assert engines.placed == []
-    assert placer.view.store_touch is ordering.StoreTouch.LOST
-    placer.view.lease_lost_at -= ordering.OUTAGE_LEAST
+    assert placer.view.store_touch is layerorders.StoreStatus.LOST
+    placer.view.lease_lost_at -= layerorders.MIN_OUTAGE_SECONDS
     _look(placer)
     assert engines.placed
-    placer.turn.lost()
+    placer.turn.note_lost()
     placer.orders.pending.clear()
     leases.fails = None
     _look(placer)
-    assert placer.view.store_touch is ordering.StoreTouch.FOLLOWED
+    assert placer.view.store_touch is layerorders.StoreStatus.FOLLOWING
 
 
 def test_engines_are_asked_what_they_hold_while_the_store_is_away():
@@ -214,9 +214,9 @@
     engines = builders.Engines()
     view = builders.view_of(_endpoints())
     placer = _placer(view, engines=engines)
-    view.book.of(LOST).dead = True
-    view.book.of(LOST).dead_at = -100.0
-    view.book.of(LOST).ejected_until = 1e12
+    view.book.get(LOST).dead = True
+    view.book.get(LOST).dead_at = -100.0
+    view.book.get(LOST).ejected_until = 1e12
     _look(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
@@ -234,7 +234,7 @@
     placer = _placer(view, engines=engines)
     now = time.monotonic()
     for at in (now - 1.4, now - 1.05, now - 0.4):
-        view.book.full(LOST, at, has_memory=True)
+        view.book.note_refusal(LOST, at, has_memory=True)
     _look(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
@@ -269,7 +269,7 @@
     placer.on_look(placing.Look())
     # Orders of one look go out together; none follows them.
     assert set(engines.tokens) == {placer.turn.term}
-    assert not placer.turn.holds(0.0)
+    assert not placer.turn.is_held(0.0)
     sent = len(engines.tokens)
     placer.leases.fails = exceptions.PlatformUnavailable('503')
     _look(placer)
--- a/packages/gateway/ibisring_gateway/tests/test_selecting.py
+++ b/packages/gateway/ibisring_gateway/tests/test_selecting.py
@@ -39,7 +39,7 @@
         service=view.snapshot.index.services[service],
         route=build.route(),
         match=types.SimpleNamespace(priority=1, account='acme'),
-        progress=types.SimpleNamespace(sent_to=0, most_endpoints=2),
+        progress=types.SimpleNamespace(sent_to=0, max_endpoints=2),
         request=types.SimpleNamespace(
             prompt_tokens=10, answer_tokens=10, answer_hint=None
         ),
@@ -80,7 +80,7 @@
 def test_a_suspect_begins_where_few_streams_run():
     """Failure: a bad request ends the engine that has the most streams."""
     view = _chain_view('h1', 'h2', 'h3')
-    view.book.of('h1').heads = 60
+    view.book.get('h1').first_stage_requests = 60
     job = _job(view, 'model', SUSPECT, is_suspect=True)
     assert 'h1' not in _chosen(view, job)
 
--- a/packages/gateway/ibisring_gateway/view.py
+++ b/packages/gateway/ibisring_gateway/view.py
@@ -9,9 +9,9 @@
 import threading
 import time
 
+from ibisring_policy.gateway import estimates
 from ibisring_policy.gateway import fairness
-from ibisring_policy.gateway import loadbook
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import ratelimits
 from ibisring_policy.gateway import suspects
 import msgspec
@@ -70,7 +70,7 @@
         self.clock = clock
         self.snapshot = Snapshot()
         self.lock = threading.Lock()
-        self.book = loadbook.make_book()
+        self.book = estimates.make_estimate_table()
         self.suspects = suspects.make_suspects()
         self.fairness = fairness.make_fairness()
         self.limits = ratelimits.make_limits(name, domain)
@@ -101,10 +101,10 @@
     def store_touch(self):
         """What this router knows of the store."""
         if not self.is_ready:
-            return ordering.StoreTouch.NOTHING
+            return layerorders.StoreStatus.UNKNOWN
         if self.store_lost_at is not None:
-            return ordering.StoreTouch.LOST
-        return ordering.StoreTouch.FOLLOWED
+            return layerorders.StoreStatus.LOST
+        return layerorders.StoreStatus.FOLLOWING
 
     @property
     def is_ready(self):
--- a/packages/gateway/ibisring_gateway/watching.py
+++ b/packages/gateway/ibisring_gateway/watching.py
@@ -26,7 +26,7 @@
 
     Attributes
     ----------
-    end : attempts.End or None
+    end : attempts.Result or None
         Why the watcher broke it off.
     may_leave : bool
         Whether the request may still go to another first endpoint.
@@ -180,13 +180,13 @@
             attempt = self.by_fd.get(fd)
             self._unregister(fd)
         if attempt is not None:
-            attempt.break_off(attempts.End.CALLER_GONE)
+            attempt.break_off(attempts.Result.CALLER_GONE)
 
     def look(self, now):
         """Break off what is out of time; report what is silent."""
         for attempt in self.all():
             if now >= attempt.deadline:
-                attempt.break_off(attempts.End.DEADLINE)
+                attempt.break_off(attempts.Result.DEADLINE)
             elif attempt.silent_at is not None and now >= attempt.silent_at:
                 if not attempt.looking and attempt.end is None:
                     attempt.looking = True
--- a/packages/policy/ibisring_policy/gateway/attempts.py
+++ b/packages/policy/ibisring_policy/gateway/attempts.py
@@ -1,12 +1,12 @@
 """What follows when an attempt to forward a request ends badly."""
 
 __all__ = [
-    'End',
-    'Next',
+    'Result',
+    'NextStep',
     'Progress',
     'decide',
-    'Window',
-    'make_window',
+    'RetryBudget',
+    'make_retry_budget',
 ]
 
 import collections
@@ -15,7 +15,7 @@
 import msgspec
 
 
-class End(enum.StrEnum):
+class Result(enum.StrEnum):
     """How an attempt ended, by what it says about the request.
 
     `SUSPECTED` is one that was not made: the request ends its endpoints.
@@ -32,25 +32,25 @@
     SUSPECTED = 'suspected'
 
 
-class Next(enum.StrEnum):
+class NextStep(enum.StrEnum):
     """The next step of a request.
 
     `REFUSE` promises the caller that nothing ran; `UNKNOWN` does not.
-    `BREAK` ends an answer under way so that it can't look complete.
+    `ABORT` ends an answer under way so that it can't look complete.
     """
 
-    ELSEWHERE = 'elsewhere'
+    RETRY = 'elsewhere'
     RESUME = 'resume'
     REFUSE = 'refuse'
     UNKNOWN = 'unknown'
-    BREAK = 'break'
+    ABORT = 'break'
     DROP = 'drop'
 
 
 class Progress(msgspec.Struct, kw_only=True):
     """All that the decision depends on.
 
-    `tries` counts connections tried, `refused` those of them that ended in a
+    `tries` counts connections tried, `refusals` those of them that ended in a
     refusal, `sent_to` endpoints that were sent the
     request, `may_have_run` whether one of them may have begun; `delivering`
     that the caller has got the head of an answer.  Times are in seconds.
@@ -58,14 +58,14 @@
 
     repeatable: bool
     stream: bool
-    most_endpoints: int
+    max_endpoints: int
     tries: int = 0
-    refused: int = 0
+    refusals: int = 0
     sent_to: int = 0
     may_have_run: bool = False
     delivering: bool = False
     time_left: float = 0.0
-    budget: bool = True
+    has_retry_budget: bool = True
 
 
 # The bound on repeats holds for all routers together and counts those of
@@ -74,13 +74,13 @@
 RATIO_SHARE = 0.8
 SLACK_SHARE = 0.6
 # Connections tried for one request: each costs up to the connect timeout.
-MOST_TRIES = 4
+MAX_TRIES = 4
 # Refusals beside them that a stream under way may meet, and the seconds
 # between two tries then: engines that are full have room again soon.
-MOST_REFUSED = 6
-REFUSED_PAUSE = 0.1
+MAX_REFUSALS = 6
+REFUSAL_PAUSE_SECONDS = 0.1
 # A repeat with less time than this left would only be cut again, in seconds.
-LEAST_TIME = 0.03
+MIN_TIME_LEFT_SECONDS = 0.03
 
 
 def decide(end, progress):
@@ -88,12 +88,12 @@
 
     Parameters
     ----------
-    end : End
+    end : Result
     progress : Progress
 
     Returns
     -------
-    Next
+    NextStep
 
     Notes
     -----
@@ -101,27 +101,27 @@
     again, and its caller is never told that it did not run: a second alert
     teaches people to ignore the first.
     """
-    if end is End.CALLER_GONE:
-        return Next.DROP
-    if end in (End.DEADLINE, End.SUSPECTED):
+    if end is Result.CALLER_GONE:
+        return NextStep.DROP
+    if end in (Result.DEADLINE, Result.SUSPECTED):
         return _give_up(progress)
     if progress.may_have_run and not progress.repeatable:
         return _give_up(progress)
     if not _may_go_on(end, progress):
         return _give_up(progress)
     if progress.delivering:
-        return Next.RESUME if progress.stream else Next.BREAK
-    return Next.ELSEWHERE
+        return NextStep.RESUME if progress.stream else NextStep.ABORT
+    return NextStep.RETRY
 
 
 def _may_go_on(end, progress):
-    if _tries_spent(progress) or progress.time_left < LEAST_TIME:
+    if _tries_spent(progress) or progress.time_left < MIN_TIME_LEFT_SECONDS:
         return False
     # A stream may go to an endpoint that has had it before, over a chain
     # with other stages: that is no further endpoint.
-    is_open = progress.stream or progress.sent_to < progress.most_endpoints
+    is_open = progress.stream or progress.sent_to < progress.max_endpoints
     # A request that no endpoint was sent is no repeat yet.
-    return is_open and (progress.budget or not progress.sent_to)
+    return is_open and (progress.has_retry_budget or not progress.sent_to)
 
 
 def _tries_spent(progress):
@@ -131,19 +131,19 @@
     refusal costs it a moment only.
     """
     if not progress.delivering:
-        return progress.tries >= MOST_TRIES
-    if progress.refused >= MOST_REFUSED:
+        return progress.tries >= MAX_TRIES
+    if progress.refusals >= MAX_REFUSALS:
         return True
-    return progress.tries - progress.refused >= MOST_TRIES
+    return progress.tries - progress.refusals >= MAX_TRIES
 
 
 def _give_up(progress):
     if progress.delivering:
-        return Next.BREAK
-    return Next.UNKNOWN if progress.may_have_run else Next.REFUSE
+        return NextStep.ABORT
+    return NextStep.UNKNOWN if progress.may_have_run else NextStep.REFUSE
 
 
-class Window:
+class RetryBudget:
     """Bounds repeats to a share of the requests of some seconds.
 
     When endpoints fail, each repeat is more load on those left; without a
@@ -156,26 +156,26 @@
         Repeats allowed beside the ratio, to all routers together.
     """
 
-    __slots__ = ('seconds', 'ratio', 'slack', 'firsts', 'repeats')
+    __slots__ = ('seconds', 'ratio', 'slack', 'request_times', 'retry_times')
 
     def __init__(self, seconds, ratio, slack):
         self.seconds = seconds
         self.ratio = ratio
         self.slack = slack
-        self.firsts = collections.deque()
-        self.repeats = collections.deque()
+        self.request_times = collections.deque()
+        self.retry_times = collections.deque()
 
     def _expire(self, now):
-        for times in (self.firsts, self.repeats):
+        for times in (self.request_times, self.retry_times):
             while times and times[0] <= now - self.seconds:
                 times.popleft()
 
-    def first(self, now):
+    def count_request(self, now):
         """Count a request."""
-        self.firsts.append(now)
+        self.request_times.append(now)
         self._expire(now)
 
-    def take(self, now, routers):
+    def take_retry(self, now, routers):
         """Take one repeat if the bound allows it.
 
         Parameters
@@ -192,13 +192,13 @@
         """
         self._expire(now)
         own_slack = self.slack / max(1, routers)
-        allowed = len(self.firsts) * self.ratio + own_slack
-        if len(self.repeats) + 1 > allowed:
+        allowed = len(self.request_times) * self.ratio + own_slack
+        if len(self.retry_times) + 1 > allowed:
             return False
-        self.repeats.append(now)
+        self.retry_times.append(now)
         return True
 
 
-def make_window(seconds, ratio, slack):
-    """Make a `Window`."""
-    return Window(seconds, ratio, slack)
+def make_retry_budget(seconds, ratio, slack):
+    """Make a `RetryBudget`."""
+    return RetryBudget(seconds, ratio, slack)
--- a/packages/policy/ibisring_policy/gateway/chains.py
+++ b/packages/policy/ibisring_policy/gateway/chains.py
@@ -11,7 +11,7 @@
     'Demand',
     'choose',
     'tokens_needed',
-    'vary_heads',
+    'jitter_slot_use',
 ]
 
 from ibisring_policy import plans
@@ -46,7 +46,7 @@
 MOST_PATHS = 4
 # An engine counts as full at this share of its memory for prompts: other
 # routers' requests are known with a delay only.
-FULL = 0.95
+FULL_SHARE = 0.95
 # Share of the longest answer that is expected, with no better estimate.
 ANSWER_SHARE = 0.6
 # Share of the expected answer that is reserved.  An engine runs dozens of
@@ -79,9 +79,9 @@
 class Holder(msgspec.Struct):
     """An engine that may be part of a chain.
 
-    `room` is memory for prompts in tokens times layers, `used` how much of
-    it is taken; `pace` is its time for all layers over that of the fastest
-    kind of card; `heads` the share of its slots taken.
+    `capacity` is memory for prompts in tokens times layers, `used` how much
+    of it is taken; `step_factor` is its time for all layers over that of the
+    fastest kind of card; `slot_use` the share of its slots taken.
     """
 
     id: str
@@ -89,10 +89,10 @@
     domain: str
     first: int
     end: int
-    room: float
+    capacity: float
     used: float = 0.0
-    pace: float = 1.0
-    heads: float = 0.0
+    step_factor: float = 1.0
+    slot_use: float = 0.0
 
 
 class Demand(msgspec.Struct):
@@ -123,7 +123,7 @@
     return prompt + WRITTEN_SHARE * expected
 
 
-def vary_heads(holders, draw):
+def jitter_slot_use(holders, draw):
     """Change the shares of slots that are taken a little, at random.
 
     Hundreds of routers that were told the same would all send to the same
@@ -136,10 +136,10 @@
         Gives random numbers from 0 up to, without, 1.
     """
     for holder in holders:
-        holder.heads *= 1.0 + HEADS_VARY * (2.0 * draw() - 1.0)
+        holder.slot_use *= 1.0 + HEADS_VARY * (2.0 * draw() - 1.0)
 
 
-def choose(holders, demand, layers, noise, heads=None):
+def choose(holders, demand, layers, noise, first_stages=None):
     """Give the best chain, or None if no chain has room.
 
     A chain stays in one failure domain if any domain has one with room.
@@ -157,7 +157,7 @@
     noise : callable
         Gives a factor around 1.0 for each holder, so that routers which
         know the same do not all take the same chain.
-    heads : collection of str or None
+    first_stages : collection of str or None
         Only these endpoints may be the first stage.
 
     Returns
@@ -176,12 +176,12 @@
         if cost is not None:
             costs[holder.id] = cost * noise()
     found = [
-        _cheapest(group, demand, costs, heads)
+        _cheapest(group, demand, costs, first_stages)
         for group in _by_domain(holders).values()
     ]
     found = [each for each in found if each is not None]
     if not found and demand.may_cross:
-        found = [_cheapest(holders, demand, costs, heads)]
+        found = [_cheapest(holders, demand, costs, first_stages)]
         found = [each for each in found if each is not None]
     if not found:
         return None
@@ -198,7 +198,7 @@
     return groups
 
 
-def _cheapest(holders, demand, costs, heads):
+def _cheapest(holders, demand, costs, first_stages):
     """Give cost and stages of the best chain of some engines, or None.
 
     When engines are nearly full, a shortest path may pass through one of
@@ -207,7 +207,7 @@
     for which there is room.
     """
     for _ in range(MOST_PATHS):
-        found = _shortest_path(holders, demand, costs, heads)
+        found = _shortest_path(holders, demand, costs, first_stages)
         if found is None:
             return None
         again = _used_twice(found[1])
@@ -236,11 +236,11 @@
     ]
 
 
-def _shortest_path(holders, demand, costs, heads):
+def _shortest_path(holders, demand, costs, first_stages):
     points = _boundaries(holders, demand)
     best = {(demand.first, None): (0.0, None, None)}
     for point in points:
-        _step(holders, demand, costs, points, point, best, heads)
+        _step(holders, demand, costs, points, point, best, first_stages)
     return _trace(best, demand, holders)
 
 
@@ -254,14 +254,14 @@
 
 def _cost_a_layer(holder):
     """Cost of running one layer, or None if the engine is full."""
-    used = holder.used / holder.room if holder.room > 0 else 1.0
-    if used >= FULL:
+    used = holder.used / holder.capacity if holder.capacity > 0 else 1.0
+    if used >= FULL_SHARE:
         return None
     scarce = max(1.0, (1.0 - HALF_FULL) / (1.0 - used)) ** 2
-    return holder.pace * scarce
+    return holder.step_factor * scarce
 
 
-def _step(holders, demand, costs, points, point, best, heads):
+def _step(holders, demand, costs, points, point, best, first_stages):
     """Extend every chain that ends at a boundary by one stage."""
     states = [(k, v[0]) for k, v in best.items() if k[0] == point]
     if not states:
@@ -269,7 +269,7 @@
     for holder in holders:
         if holder.id not in costs or not holder.first <= point < holder.end:
             continue
-        if point == 0 and not _may_be_first(holder, heads):
+        if point == 0 and not _may_be_first(holder, first_stages):
             continue
         before, origin = min(
             (
@@ -278,7 +278,7 @@
             ),
             key=lambda each: each[0],
         )
-        free = holder.room * FULL - holder.used
+        free = holder.capacity * FULL_SHARE - holder.used
         for end in points:
             size = end - point
             if size <= 0 or end > holder.end or demand.tokens * size > free:
@@ -290,14 +290,16 @@
                 best[state] = (total, origin, holder.id)
 
 
-def _may_be_first(holder, heads):
+def _may_be_first(holder, first_stages):
     """Say whether an engine may be a first stage; only there slots count."""
-    return holder.heads < 1.0 and (heads is None or holder.id in heads)
+    return holder.slot_use < 1.0 and (
+        first_stages is None or holder.id in first_stages
+    )
 
 
 def _heads_cost(holder):
-    beyond = max(0.0, holder.heads - HALF_FULL)
-    return HEADS_COST * beyond / max(LEAST_FREE, 1.0 - holder.heads)
+    beyond = max(0.0, holder.slot_use - HALF_FULL)
+    return HEADS_COST * beyond / max(LEAST_FREE, 1.0 - holder.slot_use)
 
 
 def _entry_cost(holder, previous, demand):
--- a/packages/policy/ibisring_policy/gateway/hearing.py
+++ b/packages/policy/ibisring_policy/gateway/hearing.py
@@ -8,7 +8,7 @@
 
 import math
 
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import sharing
 import msgspec
 
@@ -35,7 +35,7 @@
     name: str
     domain: str
     at: float
-    touch: ordering.StoreTouch
+    touch: layerorders.StoreStatus
     neighbour: sharing.Neighbour | None = None
 
     @property
@@ -59,7 +59,7 @@
     Examples
     --------
     >>> hearing = make_hearing('r1', 'a', 0.0)
-    >>> lost = ordering.StoreTouch.LOST
+    >>> lost = layerorders.StoreStatus.LOST
     >>> for name, domain in (('r2', 'a'), ('r3', 'b')):
     ...     hearing.take(Heard(name=name, domain=domain, at=9.0, touch=lost))
     >>> hearing.take_counts({'b': (39, 500)}, 'b', 9.0)
@@ -139,7 +139,7 @@
 
         Returns
         -------
-        dict of str to ordering.StoreTouch
+        dict of str to layerorders.StoreStatus
         """
         lately = self.lately(now, HEARD_LATELY)
         return {h.name: h.touch for h in lately if h.has_seen_store}
--- a/packages/policy/ibisring_policy/gateway/ordering.py
+++ b/packages/policy/ibisring_policy/gateway/layerorders.py
@@ -1,14 +1,14 @@
 """Whose turn it is to order engines, and what was ordered."""
 
 __all__ = [
-    'StoreTouch',
-    'Turn',
+    'StoreStatus',
+    'Lease',
     'leads_without_store',
-    'Arrivals',
-    'Ledger',
+    'Registrations',
+    'OrderTracker',
     'LeaseRow',
-    'make_turn',
-    'make_ledger',
+    'make_lease',
+    'make_order_tracker',
 ]
 
 import enum
@@ -20,42 +20,42 @@
 # the difference covers a holder that sends its last order late.  An engine
 # refuses what does not carry its count of orders, so a lease only spares
 # double work; a holder that is killed keeps missing layers away for as long.
-LEASE = 0.8
-LEASE_FOR_OTHERS = 1.2
+LEASE_SECONDS = 0.8
+LEASE_TAKEOVER_SECONDS = 1.2
 # Routers act after a random part of this, in seconds, so that one of them
 # usually finds that another has begun.
-SPREAD = 0.3
+MAX_LEASE_DELAY_SECONDS = 0.3
 # Seconds for which the store must have failed before a router orders without
 # the lease, and for which it may then: an answer that was lost is no outage.
-OUTAGE_LEAST = 0.6
+MIN_OUTAGE_SECONDS = 0.6
 WITHOUT_STORE_FOR = 0.5
 # Seconds between two reads of the lease, where nothing says when it ends.
 READ_AGAIN = 1.0
 # A site where no engine holds anything is planned once no engine has come
 # for this many seconds: a plan for the first few that register would be
 # undone when the others come.
-SETTLED = 1.0
+REGISTRATION_SETTLE_SECONDS = 1.0
 # An engine that comes in a release is there about a second before the one
 # that it replaces leaves; seconds.
 REPLACES_WITHIN = 1.6
 # Seconds in which an order that was accepted shows in the engine's entry,
 # beside the time of the load, which is half as long again as by itself where
 # other engines load too.
-SHOWS_AFTER = 1.0
-LOAD_MARGIN = 1.5
+ORDER_VISIBLE_SECONDS = 1.0
+LOAD_TIME_FACTOR = 1.5
 UNKNOWN_FOR = 1.5
 # Seconds before an engine that refused an order is asked again, and before
 # one that gave its layers up but can't load yet is counted on again.
 BUSY_SECONDS = 0.5
-EMPTYING_SECONDS = 1.0
+UNLOADING_SECONDS = 1.0
 
 
-class StoreTouch(enum.IntEnum):
+class StoreStatus(enum.IntEnum):
     """What a router knows of the store, as it tells the others."""
 
-    NOTHING = 0
+    UNKNOWN = 0
     LOST = 1
-    FOLLOWED = 2
+    FOLLOWING = 2
 
 
 def leads_without_store(router_id, lost_for, heard):
@@ -73,7 +73,7 @@
     router_id : str
     lost_for : float
         Seconds since the store last answered this router.
-    heard : dict of str to StoreTouch
+    heard : dict of str to StoreStatus
         What other routers told lately.  While one of them follows the store
         the lease can be taken there.
 
@@ -83,16 +83,16 @@
 
     Examples
     --------
-    >>> leads_without_store('a', 2.0, {'b': StoreTouch.LOST})
+    >>> leads_without_store('a', 2.0, {'b': StoreStatus.LOST})
     True
-    >>> leads_without_store('b', 2.0, {'a': StoreTouch.LOST})
+    >>> leads_without_store('b', 2.0, {'a': StoreStatus.LOST})
     False
     """
-    if lost_for < OUTAGE_LEAST:
+    if lost_for < MIN_OUTAGE_SECONDS:
         return False
-    if StoreTouch.FOLLOWED in heard.values():
+    if StoreStatus.FOLLOWING in heard.values():
         return False
-    others = [n for n, touch in heard.items() if touch is StoreTouch.LOST]
+    others = [n for n, touch in heard.items() if touch is StoreStatus.LOST]
     return all(router_id < name for name in others)
 
 
@@ -108,7 +108,7 @@
     version: int = 0
 
 
-class Turn:
+class Lease:
     """When a router takes the lease, and whether it still holds it.
 
     The lease is taken only when something is to be ordered, so an idle site
@@ -135,7 +135,7 @@
 
     def __init__(self, router_id, draw):
         self.router_id = router_id
-        self.delay = SPREAD * draw
+        self.delay = MAX_LEASE_DELAY_SECONDS * draw
         self.wanted_since = None
         self.held_until = -1.0
         self.term = 0
@@ -148,7 +148,7 @@
         if not wanted:
             self.wanted_since = None
             return False
-        if self.holds(now):
+        if self.is_held(now):
             return True
         if self.wanted_since is None:
             self.wanted_since = now
@@ -159,11 +159,11 @@
         self.read_again_at = now + READ_AGAIN
         return True
 
-    def holds(self, now):
+    def is_held(self, now):
         """Say whether this router may send an order now."""
         return now < self.held_until
 
-    def claim(self, row, now):
+    def next_row(self, row, now):
         """Give the row to write, or None while another holds the lease.
 
         Parameters
@@ -178,22 +178,22 @@
             if row.version != self.seen_version:
                 self.seen_version = row.version
                 self.seen_at = now
-            ends_at = self.seen_at + LEASE_FOR_OTHERS
+            ends_at = self.seen_at + LEASE_TAKEOVER_SECONDS
             if now < ends_at:
                 self.read_again_at = ends_at
                 return None
         self.term = row.term + 1
         return LeaseRow(self.router_id, row.term + 1, row.version)
 
-    def won(self, asked_at):
+    def note_acquired(self, asked_at):
         """Note a write that succeeded, by the time just before it."""
-        self.held_until = asked_at + LEASE
+        self.held_until = asked_at + LEASE_SECONDS
 
-    def lost(self):
+    def note_lost(self):
         """Give the lease up: an engine has seen a later holder's token."""
         self.held_until = -1.0
 
-    def take_lead(self, now):
+    def lead_without_store(self, now):
         """Order without the lease for a moment; see `leads_without_store`."""
         self.held_until = max(self.held_until, now + WITHOUT_STORE_FOR)
 
@@ -206,7 +206,7 @@
         self.term = max(self.term, term)
 
 
-class Arrivals:
+class Registrations:
     """Tells when the engines of a site that starts have registered."""
 
     __slots__ = ('names', 'changed_at', 'came_at')
@@ -231,9 +231,12 @@
             self.came_at = {n: self.came_at.get(n, now) for n in names}
         if any(e.holding is not None for e in endpoints):
             return True
-        return bool(names) and now - self.changed_at >= SETTLED
+        return (
+            bool(names)
+            and now - self.changed_at >= REGISTRATION_SETTLE_SECONDS
+        )
 
-    def has_just_come(self, endpoint, now):
+    def has_just_registered(self, endpoint, now):
         """Say whether an engine may be meant to replace another."""
         came_at = self.came_at.get(endpoint.id, now)
         return now - came_at < REPLACES_WITHIN
@@ -247,7 +250,7 @@
     before: routing.Holding | None
 
 
-class Ledger:
+class OrderTracker:
     """Orders sent and not yet seen in the engines' entries."""
 
     __slots__ = ('pending', 'counts', 'clock_now', 'blocked', 'emptying')
@@ -259,7 +262,7 @@
         self.blocked = {}
         self.emptying = {}
 
-    def settle(self, endpoints, now):
+    def update(self, endpoints, now):
         """Forget orders that show, that never will, or of engines gone."""
         self.clock_now = now
         by_id = {e.id: e for e in endpoints}
@@ -277,10 +280,10 @@
                     self._note_emptying(endpoint)
 
     def _note_emptying(self, endpoint):
-        until = self.clock_now + EMPTYING_SECONDS
+        until = self.clock_now + UNLOADING_SECONDS
         self.emptying[endpoint.id] = endpoint.started, until
 
-    def is_emptying(self, endpoint, now):
+    def is_unloading(self, endpoint, now):
         """Say whether an engine waits for the requests in it.
 
         It has given its layers up and loads others only when the last of
@@ -293,12 +296,12 @@
         started, until = self.emptying.get(endpoint.id, (None, -1.0))
         return started == endpoint.started and now < until
 
-    def expected(self, endpoint, now):
+    def expected_holding(self, endpoint, now):
         """Give what an engine holds or has been ordered to hold."""
         order = self.pending.get(endpoint.id)
         return order.holding if order is not None else endpoint.holding
 
-    def count(self, endpoint):
+    def accepted_orders(self, endpoint):
         """Give the orders that an engine has accepted, if that is known.
 
         None says that it must be asked.  An engine that holds nothing has
@@ -309,11 +312,11 @@
             return known[1]
         return 0 if endpoint.holding is None else None
 
-    def counted(self, endpoint, orders):
+    def note_accepted_orders(self, endpoint, orders):
         """Note how many orders an engine says it has accepted."""
         self.counts[endpoint.id] = endpoint.started, orders
 
-    def busy(self, endpoint, now):
+    def note_busy(self, endpoint, now):
         """Note that an engine still carries an order out.
 
         It gives layers up only when the requests that pass through them
@@ -325,7 +328,7 @@
         """Say whether an engine is known to refuse orders now."""
         return self.blocked.get(endpoint.id, -1.0) > now
 
-    def ordered(self, endpoint, holding, expected, result, seconds):
+    def note_order(self, endpoint, holding, expected, result, seconds):
         """Note an order and what became of it.
 
         Parameters
@@ -338,7 +341,7 @@
         seconds : float
             Time to load the layers that the engine does not hold yet.
         """
-        shows = SHOWS_AFTER + LOAD_MARGIN * seconds
+        shows = ORDER_VISIBLE_SECONDS + LOAD_TIME_FACTOR * seconds
         if result == 'begun':
             self.counts[endpoint.id] = endpoint.started, expected + 1
         elif result == 'unknown':
@@ -346,7 +349,7 @@
             shows = UNKNOWN_FOR
         elif result in ('conflict', 'wrong', 'stale'):
             self.counts[endpoint.id] = endpoint.started, None
-            self.busy(endpoint, self.clock_now)
+            self.note_busy(endpoint, self.clock_now)
             if endpoint.holding is None:
                 self._note_emptying(endpoint)
             return
@@ -359,11 +362,11 @@
         )
 
 
-def make_turn(router_id, draw):
-    """Make a `Turn` of a router."""
-    return Turn(router_id, draw)
+def make_lease(router_id, draw):
+    """Make a `Lease` of a router."""
+    return Lease(router_id, draw)
 
 
-def make_ledger():
-    """Make an empty `Ledger`."""
-    return Ledger()
+def make_order_tracker():
+    """Make an empty `OrderTracker`."""
+    return OrderTracker()
--- a/packages/policy/ibisring_policy/gateway/layers.py
+++ b/packages/policy/ibisring_policy/gateway/layers.py
@@ -65,7 +65,7 @@
         by_domain.setdefault(engine.domain, []).append(engine)
     need = model.layers * LEAST_COPIES
     for group in by_domain.values():
-        fits = sum(e.most_layers(model.layer_mb, MOST_FILL) for e in group)
+        fits = sum(e.max_layers(model.layer_mb, MOST_FILL) for e in group)
         if fits < need:
             return [sorted(engines, key=_name)]
     return [sorted(by_domain[name], key=_name) for name in sorted(by_domain)]
--- a/packages/policy/ibisring_policy/gateway/repairs.py
+++ b/packages/policy/ibisring_policy/gateway/repairs.py
@@ -22,7 +22,7 @@
 
 def _size(engine, model, fill):
     """Give how many layers an engine should hold."""
-    most = engine.most_layers(model.layer_mb)
+    most = engine.max_layers(model.layer_mb)
     wanted = round(engine.memory_mb * fill / model.layer_mb)
     return min(max(1, wanted), max(1, most - 1), most, model.layers)
 
@@ -73,7 +73,7 @@
         have to be emptied and moved while the gap stands open.
         """
         for engine in sorted(self.group, key=self._cost):
-            if engine.waits and not self._gaps():
+            if engine.may_replace and not self._gaps():
                 continue
             size = _size(engine, self.model, self.fill)
             if engine.holding is None and size > 0:
@@ -123,7 +123,7 @@
     def _cost(self, engine):
         """Give what a layer costs on an engine, its stage's part included."""
         size = max(1, _size(engine, self.model, self.fill))
-        return engine.pace + chains.STAGE_COST / size, engine.id
+        return engine.step_factor + chains.STAGE_COST / size, engine.id
 
     def _gaps(self):
         return windows.gaps([len(layer.holders) for layer in self.held])
@@ -164,7 +164,7 @@
 
     def _room(self, engine):
         held = self.current[engine.id]
-        most = engine.most_layers(self.model.layer_mb, 1.0 - self.reserve)
+        most = engine.max_layers(self.model.layer_mb, 1.0 - self.reserve)
         return max(0, most - held.count)
 
     def _neighbours(self, span, without=None):
@@ -275,8 +275,8 @@
         want = sum(layer.tightness(pool.model) for layer in span)
         rank = (
             round(sum(layer.loss(engine) for layer in span), 3),
-            held.first == 0 and engine.load > 0.0,
-            round(engine.load, 1),
+            held.first == 0 and engine.memory_use > 0.0,
+            round(engine.memory_use, 1),
             want / held.count,
             engine.id,
         )
--- a/packages/policy/ibisring_policy/gateway/shortage.py
+++ b/packages/policy/ibisring_policy/gateway/shortage.py
@@ -5,7 +5,7 @@
 different remedies.  This names the layers that stop a chain and why.
 """
 
-__all__ = ['Shortage', 'LeftOut', 'find', 'text']
+__all__ = ['Shortage', 'ExcludedRange', 'find', 'describe']
 
 import collections
 
@@ -18,7 +18,7 @@
 MOST_RUNS = 4
 
 
-class LeftOut(msgspec.Struct, frozen=True):
+class ExcludedRange(msgspec.Struct, frozen=True):
     """A range held by an engine that takes no requests, and why."""
 
     first: int
@@ -40,7 +40,7 @@
     Parameters
     ----------
     holders : list of chains.Holder
-    left_out : list of LeftOut
+    left_out : list of ExcludedRange
         Ranges held by engines that are believed lost, failing or full.
     demand : chains.Demand
     full : float
@@ -56,7 +56,7 @@
     --------
     >>> from ibisring_policy.gateway import chains
     >>> held = [chains.Holder('a', 'a:1', 'x', 0, 2, 100.0)]
-    >>> text(find(held, [], chains.Demand(10.0, 'x', 0, 4), 0.95))
+    >>> describe(find(held, [], chains.Demand(10.0, 'x', 0, 4), 0.95))
     ['2-4 missing']
     """
     found = []
@@ -78,9 +78,9 @@
     for holder in holders:
         if not holder.first <= layer < holder.end:
             continue
-        if layer == 0 and holder.heads >= 1.0:
+        if layer == 0 and holder.slot_use >= 1.0:
             counts[NO_SLOT] += 1
-        elif holder.used + demand.tokens > holder.room * full:
+        elif holder.used + demand.tokens > holder.capacity * full:
             counts[NO_MEMORY] += 1
         else:
             return None
@@ -92,7 +92,7 @@
     return tuple(sorted(counts.items()))
 
 
-def text(shortages):
+def describe(shortages):
     """Write shortages for a log line."""
     rows = []
     for each in shortages[:MOST_RUNS]:
--- a/packages/policy/ibisring_policy/gateway/tests/builders.py
+++ b/packages/policy/ibisring_policy/gateway/tests/builders.py
@@ -56,7 +56,7 @@
         kind.memory_mb,
         held,
         held if loaded else None,
-        pace=kind.step_factor,
+        step_factor=kind.step_factor,
     )
 
 
@@ -80,16 +80,25 @@
             e.memory_mb,
             found.get(e.id, e.holding),
             found.get(e.id, e.holding),
-            pace=e.pace,
+            step_factor=e.step_factor,
         )
         for e in engines
     ]
 
 
-def holder(name, first, end, domain='a', room=1e6, used=0.0, pace=15.0):
+def holder(
+    name, first, end, domain='a', capacity=1e6, used=0.0, step_factor=15.0
+):
     """Give a holder for a chain."""
     return chains.Holder(
-        name, f'{name}:1', domain, first, end, room, used=used, pace=pace
+        name,
+        f'{name}:1',
+        domain,
+        first,
+        end,
+        capacity,
+        used=used,
+        step_factor=step_factor,
     )
 
 
--- a/packages/policy/ibisring_policy/gateway/tests/test_chains.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_chains.py
@@ -13,9 +13,11 @@
 
 def _choose(holders, **changes):
     layers = changes.pop('layers', 16)
-    heads = changes.pop('heads', None)
+    first_stages = changes.pop('first_stages', None)
     demand = build.demand(end=layers, **changes)
-    return chains.choose(holders, demand, layers, build.exactly(), heads)
+    return chains.choose(
+        holders, demand, layers, build.exactly(), first_stages
+    )
 
 
 def _names(stages):
@@ -63,7 +65,7 @@
     Cause: that path was no chain, and no other was looked for.
     """
     holders = [
-        build.holder('fast', 0, 12, room=10e3, used=1e3, pace=1.0),
+        build.holder('fast', 0, 12, capacity=10e3, used=1e3, step_factor=1.0),
         build.holder('x', 4, 8),
         build.holder('y', 8, 16),
         build.holder('z', 0, 4),
@@ -100,7 +102,7 @@
 def test_a_given_first_engine_is_kept():
     holders = [build.holder('x', 0, 16), build.holder('y', 0, 16)]
     for head in 'xy':
-        assert _names(_choose(holders, heads=[head])) == [head]
+        assert _names(_choose(holders, first_stages=[head])) == [head]
 
 
 def test_a_part_of_the_layers_can_be_asked_for():
@@ -160,7 +162,9 @@
     for stage in stages:
         holder = by_name[stage.endpoint]
         assert holder.first <= stage.first < stage.end <= holder.end
-        assert holder.used + 1000 * (stage.end - stage.first) <= holder.room
+        assert (
+            holder.used + 1000 * (stage.end - stage.first) <= holder.capacity
+        )
 
 
 def test_four_fast_stages_are_better_than_two_slow_ones():
@@ -170,9 +174,13 @@
     more stage costs the time of some layers only.  With stages that cost as
     much as ten slow layers, streams ran at 52 ms an event in place of 47.
     """
-    slow = [build.holder(f's{n}', n * 8, n * 8 + 8, pace=16.0) for n in (0, 1)]
+    slow = [
+        build.holder(f's{n}', n * 8, n * 8 + 8, step_factor=16.0)
+        for n in (0, 1)
+    ]
     fast = [
-        build.holder(f'f{n}', n * 4, n * 4 + 4, pace=5.3) for n in range(4)
+        build.holder(f'f{n}', n * 4, n * 4 + 4, step_factor=5.3)
+        for n in range(4)
     ]
     assert _names(_choose(slow + fast)) == ['f0', 'f1', 'f2', 'f3']
 
@@ -183,8 +191,8 @@
     Sharing requests out by memory long before it is short sends them over
     slow engines for nothing.
     """
-    fast = build.holder('fast', 0, 16, used=0.45e6, pace=2.4)
-    slow = build.holder('slow', 0, 16, pace=5.3)
+    fast = build.holder('fast', 0, 16, used=0.45e6, step_factor=2.4)
+    slow = build.holder('slow', 0, 16, step_factor=5.3)
     assert _names(_choose([fast, slow])) == ['fast']
     fast.used = 0.9e6
     assert _names(_choose([fast, slow])) == ['slow']
--- a/packages/policy/ibisring_policy/gateway/tests/test_heads.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_first_stages.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ibisring_policy.gateway import chains
-from ibisring_policy.gateway import loadbook
+from ibisring_policy.gateway import estimates
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import routing
 
@@ -28,7 +28,7 @@
 
     def __init__(self, routers, seed):
         self.rng = random.Random(seed)
-        self.books = [loadbook.make_book() for _ in range(routers)]
+        self.books = [estimates.make_estimate_table() for _ in range(routers)]
         self.model = build.model(layers=LAYERS)
         self.endpoints = [
             build.endpoint(name, 'model', card=card, holding=held)
@@ -47,7 +47,7 @@
             self.books[sender].release(stages, TOKENS)
         book = self.books[number]
         holders = book.holders(self.endpoints, self.model, now)
-        chains.vary_heads(holders, self.rng.random)
+        chains.jitter_slot_use(holders, self.rng.random)
         demand = build.demand(TOKENS, end=LAYERS)
         stages = chains.choose(holders, demand, LAYERS, self._noise)
         if stages is None:
@@ -57,7 +57,7 @@
         book.reserve(stages, TOKENS)
         self.running[name] += 1
         self.queued += self.running[name] > SLOTS
-        book.report(name, self.running[name], now)
+        book.note_load(name, self.running[name], now)
         end = now + LASTS * self.rng.uniform(0.5, 1.5)
         heapq.heappush(self.ends, (end, name, number, stages))
 
@@ -66,10 +66,10 @@
 
     def tell(self, number, now):
         """Have a router tell all others the loads that it was told."""
-        told = self.books[number].loads_to_tell(now)
+        told = self.books[number].loads_to_send(now)
         for other in self.books:
             if other is not self.books[number]:
-                other.take_loads(told, now)
+                other.merge_loads(told, now)
 
     def play(self):
         """Play the load."""
@@ -105,26 +105,34 @@
 
 def test_what_was_told_is_not_told_on():
     """Failure: an old load goes round between routers for ever."""
-    first, second = loadbook.make_book(), loadbook.make_book()
-    first.report('x', 5, 10.0)
-    second.of('x')
-    second.take_loads(first.loads_to_tell(10.2), 10.3)
-    assert second.heads('x', 10.4) == 5
-    assert second.loads_to_tell(10.4) == {}
-    assert second.heads('x', 10.2 + loadbook.HEADS_AGE) == 0
+    first, second = (
+        estimates.make_estimate_table(),
+        estimates.make_estimate_table(),
+    )
+    first.note_load('x', 5, 10.0)
+    second.get('x')
+    second.merge_loads(first.loads_to_send(10.2), 10.3)
+    assert second.first_stage_load('x', 10.4) == 5
+    assert second.loads_to_send(10.4) == {}
+    assert (
+        second.first_stage_load(
+            'x', 10.2 + estimates.MAX_FIRST_STAGE_REPORT_AGE_SECONDS
+        )
+        == 0
+    )
 
 
 def test_a_newer_load_is_kept():
-    book = loadbook.make_book()
-    book.report('x', 2, 10.0)
-    book.take_loads({'x': (90, 500)}, 10.2)
-    assert book.heads('x', 10.2) == 2
+    book = estimates.make_estimate_table()
+    book.note_load('x', 2, 10.0)
+    book.merge_loads({'x': (90, 500)}, 10.2)
+    assert book.first_stage_load('x', 10.2) == 2
 
 
 def test_an_engine_without_slots_is_still_a_later_stage():
     """Failure: layers that only a busy first stage holds seem missing."""
     busy = build.holder('busy', 0, 20)
-    busy.heads = 1.0
+    busy.slot_use = 1.0
     first = build.holder('first', 0, 4)
     demand = build.demand(end=20)
     stages = chains.choose([busy, first], demand, 20, build.exactly())
--- a/packages/policy/ibisring_policy/gateway/tests/test_hearing.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_hearing.py
@@ -1,11 +1,11 @@
 """Tests of which routers seem to run, and what they know."""
 
 from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import sharing
 
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWED = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 
 
 def _hearing(**heard):
--- a/packages/policy/ibisring_policy/gateway/tests/test_layers.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_layers.py
@@ -192,7 +192,7 @@
     total = 0.0
     for layer in range(build.LAYERS):
         total += min(
-            e.pace
+            e.step_factor
             for e in engines
             if e.domain == domain and e.holding.first <= layer < e.holding.end
         )
@@ -209,7 +209,9 @@
     kinds = {'big': (72000.0, 2.4), 'quick': (14400.0, 5.3)}
     kinds['mid'] = (21600.0, 16.0)
     engines = [
-        windows.Engine(f'{card}{n}', 'a', kinds[card][0], pace=kinds[card][1])
+        windows.Engine(
+            f'{card}{n}', 'a', kinds[card][0], step_factor=kinds[card][1]
+        )
         for card, count in cards.items()
         for n in range(count)
     ]
@@ -229,7 +231,9 @@
     kinds = {'big': (72000.0, 2.4), 'quick': (14400.0, 5.3)}
     kinds['mid'] = (21600.0, 16.0)
     engines = [
-        windows.Engine(f'{card}{n}', 'a', kinds[card][0], pace=kinds[card][1])
+        windows.Engine(
+            f'{card}{n}', 'a', kinds[card][0], step_factor=kinds[card][1]
+        )
         for card, count in (('big', 1), ('quick', 10), ('mid', 4))
         for n in range(count)
     ]
@@ -249,7 +253,7 @@
     engines = [
         build.engine('s0', held=(0, 8)),
         build.engine('s1', held=(8, 16)),
-        windows.Engine('new', 'a', 36000.0, pace=3.1),
+        windows.Engine('new', 'a', 36000.0, step_factor=3.1),
     ]
     model = build.model(layers=16)
     (change,) = layers.plan(engines, model)
@@ -300,7 +304,7 @@
         windows.Engine('busy', 'a', 21600.0, *[build.holding(0, 8)] * 2),
         windows.Engine('idle', 'a', 21600.0, *[build.holding(0, 8)] * 2),
     ]
-    spares[0] = msgspec.structs.replace(spares[0], load=0.3)
+    spares[0] = msgspec.structs.replace(spares[0], memory_use=0.3)
     (change,) = layers.plan(spares, build.model(layers=14))
     assert change.id == 'idle'
 
@@ -314,7 +318,7 @@
     Cause: the idlest spare was taken, whatever it gave up.
     """
     slow = [build.engine(f's{n}', held=(n * 8, n * 8 + 8)) for n in range(3)]
-    slow = [msgspec.structs.replace(each, load=0.2) for each in slow]
+    slow = [msgspec.structs.replace(each, memory_use=0.2) for each in slow]
     fast = windows.Engine('fast', 'a', 72000.0, *[build.holding(0, 24)] * 2)
     changes = layers.plan([fast, *slow], build.model(layers=48))
     moved = {c.id for c in changes if c.holding.first >= 24}
--- a/packages/policy/ibisring_policy/gateway/tests/test_shortage.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_shortage.py
@@ -6,7 +6,7 @@
 
 def _find(holders, left_out=(), tokens=1000.0):
     demand = build.demand(tokens, end=16)
-    return shortage.text(shortage.find(holders, left_out, demand, 0.95))
+    return shortage.describe(shortage.find(holders, left_out, demand, 0.95))
 
 
 def test_nothing_is_short_where_every_layer_has_room():
@@ -24,7 +24,7 @@
         build.holder('full', 0, 8, used=0.99e6),
         build.holder('free', 6, 10),
     ]
-    left_out = [shortage.LeftOut(0, 4, 'lost')]
+    left_out = [shortage.ExcludedRange(0, 4, 'lost')]
     assert _find(holders, left_out) == [
         '0-4 lost=1 no_memory=1',
         '4-6 no_memory=1',
@@ -34,5 +34,5 @@
 
 def test_a_first_engine_without_a_slot_is_no_want_of_memory():
     head = build.holder('head', 0, 16)
-    head.heads = 1.0
+    head.slot_use = 1.0
     assert _find([head]) == ['0-1 no_slot=1']
--- a/packages/policy/ibisring_policy/gateway/windows.py
+++ b/packages/policy/ibisring_policy/gateway/windows.py
@@ -12,28 +12,28 @@
 class Engine(msgspec.Struct, frozen=True):
     """An engine as the planner sees it.
 
-    `holding` is what it holds, or was ordered to hold; `placed` is what of it
-    is in place now.  `waits` is set for one that has just come: it may take
-    the place of one that is about to leave, see `place_empty`.  `pace` is
-    its time for a layer over that of the fastest kind of card; `load` the
-    share of its memory for prompts that requests hold.
+    `holding` is what it holds, or was ordered to hold; `loaded` is what of it
+    is in place now.  `may_replace` is set for one that has just come: it may
+    take the place of one that is about to leave, see `place_empty`.
+    `step_factor` is its time for a layer over that of the fastest kind of
+    card; `memory_use` the share of its memory for prompts that requests hold.
     """
 
     id: str
     domain: str
     memory_mb: float
     holding: routing.Holding | None = None
-    placed: routing.Holding | None = None
-    waits: bool = False
-    pace: float = 1.0
-    load: float = 0.0
+    loaded: routing.Holding | None = None
+    may_replace: bool = False
+    step_factor: float = 1.0
+    memory_use: float = 0.0
 
     @property
     def is_loading(self):
         """Whether an order is under way; it refuses others until its end."""
-        return self.holding != self.placed
+        return self.holding != self.loaded
 
-    def most_layers(self, layer_mb, share=1.0):
+    def max_layers(self, layer_mb, share=1.0):
         """Give how many layers fit into a share of the memory."""
         return int(self.memory_mb * share / layer_mb)
 
@@ -83,12 +83,16 @@
         """Give how much faster this layer runs with an engine of a pace."""
         if not self.holders:
             return 0.0
-        return max(0.0, min(e.pace for e in self.holders.values()) - pace)
+        return max(
+            0.0, min(e.step_factor for e in self.holders.values()) - pace
+        )
 
     def loss(self, engine):
         """Give how much slower this layer runs without one of its holders."""
-        others = [e.pace for e in self.holders.values() if e is not engine]
-        return max(0.0, min(others) - engine.pace) if others else 0.0
+        others = [
+            e.step_factor for e in self.holders.values() if e is not engine
+        ]
+        return max(0.0, min(others) - engine.step_factor) if others else 0.0
 
     def tightness(self, model):
         """Give the want of memory for prompts, from 0 up to 1."""
@@ -121,7 +125,7 @@
     first, last = 0, model.layers - size
     if around is not None:
         first, last = max(0, around.end - size), min(last, around.first)
-    gains = [layer.gain(engine.pace) for layer in held]
+    gains = [layer.gain(engine.step_factor) for layer in held]
     wants = [layer.tightness(model) for layer in held]
     empties = [not layer.holders for layer in held]
     best = None
