--- a/packages/policy/ibisring_policy/gateway/attempts.py
+++ b/packages/policy/ibisring_policy/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt to forward a request ends badly."""
+"""Decides what a request does after a failed attempt, and limits retries."""
 
 __all__ = [
     'Result',
@@ -16,9 +16,10 @@
 
 
 class Result(enum.StrEnum):
-    """How an attempt ended, by what it says about the request.
+    """How an attempt failed, by what is known about the request's execution.
 
-    `SUSPECTED` is one that was not made: the request ends its endpoints.
+    `SUSPECTED` stands for an attempt that was not made, since the request is
+    suspected of crashing endpoints.
     """
 
     NOT_SENT = 'not_sent'
@@ -35,8 +36,9 @@
 class NextStep(enum.StrEnum):
     """The next step of a request.
 
-    `REFUSE` promises the caller that nothing ran; `UNKNOWN` does not.
-    `ABORT` ends an answer under way so that it can't look complete.
+    `REFUSE` guarantees to the caller that nothing was executed; `UNKNOWN`
+    does not.  `ABORT` breaks off a response that has begun, so that it can't
+    be taken for a complete one.
     """
 
     RETRY = 'elsewhere'
@@ -48,12 +50,13 @@
 
 
 class Progress(msgspec.Struct, kw_only=True):
-    """All that the decision depends on.
+    """State of a request on which the decision depends.
 
-    `tries` counts connections tried, `refusals` those of them that ended in a
-    refusal, `sent_to` endpoints that were sent the
-    request, `may_have_run` whether one of them may have begun; `delivering`
-    that the caller has got the head of an answer.  Times are in seconds.
+    `tries` counts connection attempts, `refusals` those of them that the
+    endpoint refused, `sent_to` the endpoints that the request was sent to;
+    `may_have_run` is set once one of them may have begun to execute it, and
+    `delivering` once the caller has received the head of a response.
+    `time_left` is in seconds.
     """
 
     repeatable: bool
@@ -68,27 +71,27 @@
     has_retry_budget: bool = True
 
 
-# The bound on repeats holds for all routers together and counts those of
-# endpoints' own calls too.  Routers use this share of the ratio, each to its
-# own requests, and this share of the slack, in equal parts.
+# The bound on retries holds for all routers together and includes the
+# endpoints' own calls.  Routers use this share of the ratio, each on its own
+# requests, and this share of the slack, divided equally among them.
 RATIO_SHARE = 0.8
 SLACK_SHARE = 0.6
-# Connections tried for one request: each costs up to the connect timeout.
+# Connection attempts for one request: each may take the connect timeout.
 MAX_TRIES = 4
-# Refusals beside them that a stream under way may meet, and the seconds
-# between two tries then: engines that are full have room again soon.
+# Refusals that a stream under way may meet in addition, and the pause between
+# two attempts then: engines that are full have room again soon.
 MAX_REFUSALS = 6
 REFUSAL_PAUSE_SECONDS = 0.1
-# A repeat with less time than this left would only be cut again, in seconds.
+# A retry with less time left than this would miss the deadline as well.
 MIN_TIME_LEFT_SECONDS = 0.03
 
 
-def decide(end, progress):
-    """Say what to do next.
+def decide(result, progress):
+    """Choose the next step after a failed attempt.
 
     Parameters
     ----------
-    end : Result
+    result : Result
     progress : Progress
 
     Returns
@@ -97,38 +100,38 @@
 
     Notes
     -----
-    A request that must run once at most and may have begun is never sent
-    again, and its caller is never told that it did not run: a second alert
-    teaches people to ignore the first.
+    A request that must run at most once and may have begun is never sent
+    again, and its caller is never told that it did not run: a duplicated
+    alert teaches people to ignore alerts.
     """
-    if end is Result.CALLER_GONE:
+    if result is Result.CALLER_GONE:
         return NextStep.DROP
-    if end in (Result.DEADLINE, Result.SUSPECTED):
+    if result in (Result.DEADLINE, Result.SUSPECTED):
         return _give_up(progress)
     if progress.may_have_run and not progress.repeatable:
         return _give_up(progress)
-    if not _may_go_on(end, progress):
+    if not _may_retry(result, progress):
         return _give_up(progress)
     if progress.delivering:
         return NextStep.RESUME if progress.stream else NextStep.ABORT
     return NextStep.RETRY
 
 
-def _may_go_on(end, progress):
-    if _tries_spent(progress) or progress.time_left < MIN_TIME_LEFT_SECONDS:
+def _may_retry(result, progress):
+    if _has_used_tries(progress) or progress.time_left < MIN_TIME_LEFT_SECONDS:
         return False
-    # A stream may go to an endpoint that has had it before, over a chain
-    # with other stages: that is no further endpoint.
+    # A stream may return to an endpoint that it was sent to before, with a
+    # chain of other stages: that does not count as a further endpoint.
     is_open = progress.stream or progress.sent_to < progress.max_endpoints
-    # A request that no endpoint was sent is no repeat yet.
+    # Sending a request that no endpoint has received yet is not a retry.
     return is_open and (progress.has_retry_budget or not progress.sent_to)
 
 
-def _tries_spent(progress):
-    """Say whether a request has had all its tries.
+def _has_used_tries(progress):
+    """Return whether a request has used up its connection attempts.
 
-    A stream under way loses all of its answer with the last of them, and a
-    refusal costs it a moment only.
+    A stream under way may be refused more often: giving up would lose its
+    whole response, while a refusal only costs a short delay.
     """
     if not progress.delivering:
         return progress.tries >= MAX_TRIES
@@ -144,16 +147,19 @@
 
 
 class RetryBudget:
-    """Bounds repeats to a share of the requests of some seconds.
+    """Limits retries to a share of the requests within a sliding window.
 
-    When endpoints fail, each repeat is more load on those left; without a
-    bound the repeats are what keeps them down.
+    When endpoints fail, each retry adds load to the remaining ones; without
+    a limit the retries keep them overloaded.
 
     Parameters
     ----------
-    seconds, ratio : float
+    seconds : float
+        Length of the window.
+    ratio : float
+        Retries allowed per request.
     slack : float
-        Repeats allowed beside the ratio, to all routers together.
+        Retries allowed in addition to the ratio, for all routers together.
     """
 
     __slots__ = ('seconds', 'ratio', 'slack', 'request_times', 'retry_times')
@@ -171,24 +177,25 @@
                 times.popleft()
 
     def count_request(self, now):
-        """Count a request."""
+        """Count a request that raises the number of allowed retries."""
         self.request_times.append(now)
         self._expire(now)
 
     def take_retry(self, now, routers):
-        """Take one repeat if the bound allows it.
+        """Count a retry, if the budget allows one.
 
         Parameters
         ----------
         now : float
         routers : int
-            How many share the slack.  A part of it that does not shrink
-            with their number would let a large fleet pass the bound many
-            times over when engines that all of them use fail.
+            Number of routers that share the slack.  If a router's part did
+            not shrink with their number, a large fleet would exceed the
+            bound many times over when engines that all of them use fail.
 
         Returns
         -------
         bool
+            Whether the request may be sent again.
         """
         self._expire(now)
         own_slack = self.slack / max(1, routers)
--- a/packages/policy/ibisring_policy/gateway/tests/test_attempts.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of what follows an attempt that ended badly."""
+"""Tests of the decision after a failed attempt, and of retry budgets."""
 
 import itertools
 
@@ -23,41 +23,41 @@
     return attempts.Progress(**values)
 
 
-def test_a_repeatable_request_goes_elsewhere():
+def test_a_repeatable_request_is_retried():
     assert attempts.decide(Result.LOST, _progress()) is NextStep.RETRY
 
 
 def test_an_alert_that_may_have_run_is_never_sent_again():
-    """Symptom: a foreman gets the same alert twice.
+    """Failure: an alert is delivered twice.
 
-    Sequence: the endpoint ran it, its answer was lost, it was sent again.
-    Cause: the loss of an answer was taken for a request that did not run.
+    The endpoint executes the request, but its response is lost, and the
+    router sends the request again as if it had not run.
     """
-    for end in (
+    for result in (
         Result.LOST,
         Result.SILENT,
         Result.DAMAGED,
         Result.DEADLINE,
         Result.CUT,
     ):
-        step = attempts.decide(end, _progress(repeatable=False))
+        step = attempts.decide(result, _progress(repeatable=False))
         assert step is NextStep.UNKNOWN
 
 
-def test_an_alert_that_was_refused_may_go_elsewhere():
+def test_a_refused_alert_may_be_retried():
     progress = _progress(repeatable=False, may_have_run=False)
     assert attempts.decide(Result.REFUSED, progress) is NextStep.RETRY
     progress.sent_to = progress.max_endpoints
     assert attempts.decide(Result.REFUSED, progress) is NextStep.REFUSE
 
 
-def test_no_more_endpoints_than_the_route_allows():
+def test_the_number_of_endpoints_is_limited_by_the_route():
     progress = _progress(sent_to=2)
     assert attempts.decide(Result.LOST, progress) is NextStep.UNKNOWN
 
 
-def test_a_stream_under_way_outlasts_some_refusals():
-    """Failure: a stream is cut, as those that could go on with it are full."""
+def test_a_stream_under_way_tolerates_some_refusals():
+    """Failure: a stream is aborted because other engines are briefly full."""
     progress = _progress(stream=True, delivering=True, tries=5, refusals=3)
     assert attempts.decide(Result.REFUSED, progress) is NextStep.RESUME
     progress.refusals = attempts.MAX_REFUSALS
@@ -66,26 +66,25 @@
     assert attempts.decide(Result.REFUSED, progress) is NextStep.ABORT
 
 
-def test_a_stream_that_has_not_begun_counts_refusals():
+def test_refusals_count_as_tries_before_a_stream_begins():
     progress = _progress(stream=True, tries=4, refusals=3)
     assert attempts.decide(Result.REFUSED, progress) is NextStep.UNKNOWN
 
 
-def test_a_spent_budget_ends_the_repeats():
+def test_an_exhausted_budget_stops_retries():
     progress = _progress(has_retry_budget=False)
     assert attempts.decide(Result.LOST, progress) is NextStep.UNKNOWN
     progress.may_have_run = False
     assert attempts.decide(Result.REFUSED, progress) is NextStep.REFUSE
 
 
-@pytest.mark.parametrize('end', list(Result))
-def test_nothing_that_was_sent_goes_on_without_the_budget(end):
-    """Symptom: a stream that was cut is framed as complete.
+@pytest.mark.parametrize('result', list(Result))
+def test_a_sent_request_is_not_retried_without_budget(result):
+    """Failure: a truncated stream is framed as complete.
 
-    Sequence: its engine falls silent in the middle; the next one can't be
-    connected to; the budget for repeats is spent.
-    Cause: a connection that failed was taken for a first try, which needs
-    no budget, so the decision was to go on, and nothing broke it off.
+    Its engine stops responding, no connection to the next one can be made,
+    and the retry budget is exhausted.  If the failed connection counts as a
+    first attempt, which needs no budget, the stream is never aborted.
     """
     for delivering in (False, True):
         progress = _progress(
@@ -94,18 +93,18 @@
             has_retry_budget=False,
             sent_to=1,
         )
-        step = attempts.decide(end, progress)
+        step = attempts.decide(result, progress)
         assert step not in (NextStep.RETRY, NextStep.RESUME)
-        if delivering and end is not Result.CALLER_GONE:
+        if delivering and result is not Result.CALLER_GONE:
             assert step is NextStep.ABORT
 
 
-def test_a_first_try_needs_no_budget():
+def test_a_first_attempt_needs_no_budget():
     progress = _progress(has_retry_budget=False, sent_to=0, may_have_run=False)
     assert attempts.decide(Result.NOT_SENT, progress) is NextStep.RETRY
 
 
-def test_a_stream_under_way_is_resumed_or_broken_off():
+def test_a_stream_under_way_is_resumed_or_aborted():
     progress = _progress(stream=True, delivering=True)
     assert attempts.decide(Result.CUT, progress) is NextStep.RESUME
     progress.sent_to = 2
@@ -114,14 +113,14 @@
     assert attempts.decide(Result.CUT, progress) is NextStep.ABORT
 
 
-def test_a_caller_that_left_gets_nothing():
+def test_a_request_of_a_disconnected_caller_is_dropped():
     assert attempts.decide(Result.CALLER_GONE, _progress()) is NextStep.DROP
 
 
-def test_the_promise_of_not_run_is_never_false():
-    """A refusal is only given where no attempt may have begun."""
+def test_a_request_that_may_have_run_is_never_refused():
+    """Failure: a caller is told "not run" although an attempt may have."""
     flags = (False, True)
-    for end, repeatable, stream, delivering, budget in itertools.product(
+    for result, repeatable, stream, delivering, budget in itertools.product(
         Result, flags, flags, flags, flags
     ):
         for sent_to in (0, 1, 2):
@@ -132,30 +131,30 @@
                 has_retry_budget=budget,
                 sent_to=sent_to,
             )
-            assert attempts.decide(end, progress) is not NextStep.REFUSE
+            assert attempts.decide(result, progress) is not NextStep.REFUSE
 
 
-def test_repeats_stay_within_their_share():
-    window = attempts.make_retry_budget(10.0, 0.2, 2.0)
+def test_retries_stay_within_the_ratio_and_slack():
+    budget = attempts.make_retry_budget(10.0, 0.2, 2.0)
     for n in range(100):
-        window.count_request(n * 0.01)
-    taken = sum(window.take_retry(1.0, 1) for _ in range(100))
-    assert taken == 22
-    assert not window.take_retry(5.0, 1)
-    assert window.take_retry(30.0, 1) and window.take_retry(30.0, 1)
-    assert not window.take_retry(30.0, 1)
+        budget.count_request(n * 0.01)
+    retries = sum(budget.take_retry(1.0, 1) for _ in range(100))
+    assert retries == 22
+    assert not budget.take_retry(5.0, 1)
+    assert budget.take_retry(30.0, 1) and budget.take_retry(30.0, 1)
+    assert not budget.take_retry(30.0, 1)
 
 
 @pytest.mark.parametrize('routers', [1, 6, 83, 380])
-def test_a_fleet_stays_within_the_bound(routers):
-    """Symptom: endpoints get more repeats than their owner allows.
+def test_the_retries_of_a_fleet_stay_within_the_bound(routers):
+    """Failure: endpoints receive more retries than the settings allow.
 
-    Sequence: engines that all of 83 routers use fail at once; each request
-    is tried as often as it may be.
-    Cause: each router allowed itself a tenth of the slack, made for six.
+    Engines that all of 83 routers use fail at once.  A share of the slack
+    that is the same for any number of routers, such as a tenth, exceeds the
+    bound in a large fleet.
     """
     ratio, slack, requests = 0.2, 350.0, 10.0
-    windows = [
+    budgets = [
         attempts.make_retry_budget(
             10.0,
             ratio * attempts.RATIO_SHARE,
@@ -163,10 +162,10 @@
         )
         for _ in range(routers)
     ]
-    repeats = 0
-    for window in windows:
+    retries = 0
+    for budget in budgets:
         for number in range(int(requests)):
-            window.count_request(number * 0.1)
-            tries = (window.take_retry(1.0, routers) for _ in range(40))
-            repeats += sum(tries)
-    assert repeats <= ratio * requests * routers + slack
+            budget.count_request(number * 0.1)
+            allowed = (budget.take_retry(1.0, routers) for _ in range(40))
+            retries += sum(allowed)
+    assert retries <= ratio * requests * routers + slack
