--- a/packages/policy/ibisring_policy/gateway/estimates.py
+++ b/packages/policy/ibisring_policy/gateway/estimates.py
@@ -1,4 +1,4 @@
-"""What one router believes of the endpoints' load and health."""
+"""A router's estimates of the load and health of endpoints."""
 
 __all__ = ['EstimateTable', 'Estimate', 'make_estimate_table']
 
@@ -6,54 +6,65 @@
 from ibisring_policy.gateway import shortage
 import msgspec
 
-# Seconds for which an endpoint that could not be reached gets no requests
-# while others can take them, for the first failure and at most.
-EJECT_FIRST = 0.5
-EJECT_MOST = 4.0
-# Failures among the latest answers that take an endpoint out: a share of
-# them, and a least number so that one unlucky answer does not.
-FAILING_SHARE = 0.3
-FAILING_LEAST = 2
-# Each answer counts 0.2 of the failing share: about the last five matter.
-SMOOTHING = 0.2
-# Seconds for which an engine that refused is left out: at first, and at most.
-# If it has memory free, each refusal soon after the last rest doubles it: an
-# engine that leaves while the store can't say so refuses everything, and each
-# request sent to it spends one of the fleet's repeats.
+# How long an endpoint that could not be reached gets no requests while others
+# can take them: after the first failure, and at most.
+MIN_EJECT_SECONDS = 0.5
+MAX_EJECT_SECONDS = 4.0
+# An endpoint is ejected at this failure rate, but only after this many
+# failures in a row, so that a single failure does not eject it.
+EJECT_FAILURE_RATE = 0.3
+MIN_CONSECUTIVE_FAILURES = 2
+# Weight of each response in the moving failure rate: about the last five
+# count.
+FAILURE_SMOOTHING = 0.2
+# How long an engine that refused a request gets none: at first, and at most.
+# If it has free memory, each refusal soon after the last backoff doubles it:
+# an engine that leaves while the store is unavailable refuses everything, and
+# each request sent to it uses up one of the fleet's retries.
 MIN_BACKOFF_SECONDS = 0.3
-MOST_FULL_SECONDS = 2.4
-FULL_AGAIN = 0.5
-# An engine that has refused for so many seconds although it has memory is
-# about to leave; its layers are given to others.
-REFUSES_FOR = 0.8
-# Share of an engine's memory up to which a refusal is not for want of it.
+MAX_BACKOFF_SECONDS = 2.4
+BACKOFF_REPEAT_SECONDS = 0.5
+# An engine that has refused for this long although it has free memory is
+# about to leave; its layers are assigned to others.
+LEAVING_AFTER_SECONDS = 0.8
+# Share of an engine's memory in use up to which a refusal can't be due to a
+# lack of memory.
 MEMORY_AVAILABLE_SHARE = 0.7
-# What another router told counts for so many seconds: of 83 routers, each of
-# which tells six others four times a second, nine in ten are heard in it.
-TOLD_AGE = 8.0
-# News of an engine that was lost is told for this long, in seconds, and not
-# believed by a router that has heard from the engine since.
-DEAD_NEWS = 1.0
-TRUST_OWN = 0.1
-# Seconds after which a router that was told of a lost engine asks that engine
-# itself, if nobody has told by then that it is back.  Those that found it lost
-# ask sooner; all of 195 asking made most of a bad day's status questions.
+# How long the load that another router sent counts: of 83 routers, each of
+# which sends to six others four times a second, nine in ten are received
+# within this time.
+MAX_PEER_TOKENS_AGE_SECONDS = 8.0
+# How long the loss of an engine is sent to other routers, and for how long
+# after its own contact with the engine a router ignores such a report.
+DEAD_GOSSIP_SECONDS = 1.0
+OWN_CONTACT_SECONDS = 0.1
+# Delay after which a router that learned of a lost engine from a peer probes
+# the engine itself, unless a peer has reported its recovery by then.  Routers
+# that detected the loss probe sooner; with all of 195 routers probing, these
+# were most of the status queries on a day with many failures.
 PEER_REPORT_PROBE_DELAY_SECONDS = 4.0
-# An engine's own word that it is slow counts for so many seconds; it is asked
-# again after a part of that.
-SLOW_FOR = 2.5
-SLOW_AGAIN = 1.0
-# Times its usual pace from which an engine counts as slow.  Below it, going
-# round costs more than it gains: a stage is a tenth of a chain's time.
+# How long an engine's report that it is slow counts, and after how long it is
+# queried again.
+SLOWDOWN_VALID_SECONDS = 2.5
+SLOWDOWN_PROBE_SECONDS = 1.0
+# An engine counts as slow at this multiple of its usual time.  Below it,
+# avoiding the engine costs more than it gains: a stage is a tenth of a
+# chain's time.
 SLOW_FACTOR = 2.0
-# A report of load older than this says nothing, in seconds: of a plain
-# endpoint, and of a first stage, whose requests last longer.
-REPORT_AGE = 1.0
+# A load report older than this is ignored: of an endpoint of a plain service,
+# and of a first stage, whose requests last longer.
+MAX_REPORT_AGE_SECONDS = 1.0
 MAX_FIRST_STAGE_REPORT_AGE_SECONDS = 2.0
 
 
 class Estimate(msgspec.Struct):
-    """What is believed of one endpoint; times are monotonic seconds."""
+    """Estimated load and health of an endpoint; times are monotonic.
+
+    `active`, `tokens` and `first_stage_requests` count this router's own
+    requests; `tokens` are multiplied by the layers that the engine runs.
+    `started` is the start time of the endpoint's present process.  Fields
+    `*_from_peer` tell that another router reported the state.
+    """
 
     active: int = 0
     tokens: float = 0.0
@@ -66,7 +77,7 @@
     failure_rate: float = 0.0
     consecutive_failures: int = 0
     ejected_until: float = 0.0
-    eject_seconds: float = EJECT_FIRST
+    eject_seconds: float = MIN_EJECT_SECONDS
     answered_at: float = -1e9
     dead: bool = False
     dead_at: float = -1e9
@@ -85,14 +96,15 @@
 
 
 class EstimateTable:
-    """Beliefs by endpoint id; the caller holds a lock around each call.
+    """Estimates by endpoint id; the caller holds a lock around each call.
 
     Attributes
     ----------
     peer_tokens : dict of str to (float, dict)
-        What other routers told of their load, and when.
+        When each router last sent its load, and its tokens times layers by
+        engine.
     max_memory_use : float
-        Largest share of an engine's memory taken, when last looked at.
+        Largest share of an engine's memory in use, as last computed.
     """
 
     def __init__(self):
@@ -101,73 +113,73 @@
         self.max_memory_use = 0.0
 
     def get(self, name):
-        """Give the estimate about an endpoint."""
+        """Return the estimate of an endpoint, a new one if there is none."""
         estimate = self.by_endpoint.get(name)
         if estimate is None:
             estimate = self.by_endpoint[name] = Estimate()
         return estimate
 
     def retain(self, names):
-        """Forget endpoints that are gone and hold nothing of ours."""
+        """Drop other endpoints, unless requests of this router are active."""
         for name in [n for n in self.by_endpoint if n not in names]:
             if not self.by_endpoint[name].active:
                 del self.by_endpoint[name]
 
     def reserve(self, stages, tokens):
         """Count a request at each stage of its chain."""
-        for place, stage in enumerate(stages):
+        for position, stage in enumerate(stages):
             estimate = self.get(stage.endpoint)
             estimate.active += 1
             estimate.tokens += tokens * (stage.end - stage.first)
-            estimate.first_stage_requests += 1 if place == 0 else 0
+            estimate.first_stage_requests += 1 if position == 0 else 0
 
     def release(self, stages, tokens):
-        """Take back what `reserve` counted."""
-        for place, stage in enumerate(stages):
+        """Undo `reserve`."""
+        for position, stage in enumerate(stages):
             estimate = self.get(stage.endpoint)
             estimate.active -= 1
             estimate.tokens -= tokens * (stage.end - stage.first)
-            estimate.first_stage_requests -= 1 if place == 0 else 0
+            estimate.first_stage_requests -= 1 if position == 0 else 0
 
     def note_reachable(self, name, now):
-        """Note that an endpoint answered."""
+        """Note that an endpoint responded."""
         estimate = self.get(name)
         estimate.answered_at = now
         if estimate.dead:
-            self._revive(estimate, now, from_peer=False)
+            self._mark_recovered(estimate, now, from_peer=False)
 
-    def _revive(self, estimate, now, from_peer):
+    def _mark_recovered(self, estimate, now, from_peer):
         estimate.dead = False
         estimate.recovered_at = now
         estimate.recovery_from_peer = from_peer
         estimate.ejected_until = now
-        estimate.eject_seconds = EJECT_FIRST
+        estimate.eject_seconds = MIN_EJECT_SECONDS
 
     def recently_recovered(self, now):
-        """Give the lost engines that have answered this router lately."""
+        """Return dead engines that have recently responded to this router."""
         return [
             name
             for name, estimate in self.by_endpoint.items()
-            if now - estimate.recovered_at < DEAD_NEWS
+            if now - estimate.recovered_at < DEAD_GOSSIP_SECONDS
             and not estimate.recovery_from_peer
             and not estimate.dead
         ]
 
     def merge_recovered(self, names, now):
-        """Note lost engines that have answered another router."""
+        """Note dead engines that have responded to another router."""
         for name in names:
             estimate = self.by_endpoint.get(name)
             if estimate is not None and estimate.dead:
-                self._revive(estimate, now, from_peer=True)
+                self._mark_recovered(estimate, now, from_peer=True)
 
     def note_unreachable(self, name, now, from_peer=False):
-        """Note that an endpoint could not be reached, or went silent.
+        """Note that an endpoint could not be reached, or did not respond.
 
-        `from_peer` if another router says so.
+        `from_peer` tells that another router reported it.
 
-        An engine stays out until it has answered again: one that is gone
-        for good may keep its entry for seconds, and each request tried on
-        it would wait for its stall to end.
+        An engine gets no requests until it has responded again: one that
+        has gone for good may keep its entry for seconds, and each request
+        sent to it would stall.
         """
         estimate = self.get(name)
         if not estimate.dead:
@@ -177,7 +189,7 @@
         if estimate.ejected_until <= now:
             estimate.ejected_until = now + estimate.eject_seconds
             estimate.eject_seconds = min(
-                EJECT_MOST, estimate.eject_seconds * 2
+                MAX_EJECT_SECONDS, estimate.eject_seconds * 2
             )
 
     def note_refusal(self, name, now, from_peer=False, has_memory=False):
@@ -188,22 +200,23 @@
         name : str
         now : float
         from_peer : bool
-            By another router.
+            Whether another router reported the refusal.
         has_memory : bool
-            It can't have been for want of memory.
+            Whether the engine has memory, so that it refused for another
+            reason.
         """
         estimate = self.get(name)
         estimate.refused_at = now
         if estimate.backoff_until > now:
             return
-        again = now - estimate.backoff_until < FULL_AGAIN
-        if again and has_memory:
+        is_repeated = now - estimate.backoff_until < BACKOFF_REPEAT_SECONDS
+        if is_repeated and has_memory:
             estimate.backoff_seconds = min(
-                MOST_FULL_SECONDS, 2.0 * estimate.backoff_seconds
+                MAX_BACKOFF_SECONDS, 2.0 * estimate.backoff_seconds
             )
         else:
             estimate.backoff_seconds = MIN_BACKOFF_SECONDS
-        if not has_memory or not again:
+        if not has_memory or not is_repeated:
             estimate.refusing_since = None
         if has_memory and estimate.refusing_since is None:
             estimate.refusing_since = now
@@ -211,7 +224,7 @@
         estimate.backoff_until = now + estimate.backoff_seconds
 
     def note_accepted(self, names, sent_at):
-        """Note that engines run a request; older refusals are forgotten."""
+        """Clear refusals older than a request that engines have accepted."""
         for name in names:
             estimate = self.by_endpoint.get(name)
             if estimate is not None and estimate.refused_at < sent_at:
@@ -219,10 +232,11 @@
                 estimate.refusing_since = None
 
     def refusing(self, now):
-        """Give the engines that refuse this router's requests.
+        """Return the engines that refuse requests despite free memory.
 
-        Not those that are short of memory: that passes within a moment, and
-        others may have a smaller request for them.
+        Only refusals of this router's own requests count.  Engines short of
+        memory are omitted: that passes within a moment, and another router
+        may have a smaller request for them.
         """
         return [
             name
@@ -233,83 +247,92 @@
         ]
 
     def is_probably_leaving(self, name, now):
-        """Say whether an engine refuses everything though it has memory."""
+        """Return whether an engine keeps refusing despite free memory."""
         estimate = self.by_endpoint.get(name)
         if estimate is None or estimate.refusing_since is None:
             return False
-        resting = now < estimate.backoff_until + FULL_AGAIN
-        return resting and now - estimate.refusing_since >= REFUSES_FOR
+        in_backoff = now < estimate.backoff_until + BACKOFF_REPEAT_SECONDS
+        return (
+            in_backoff
+            and now - estimate.refusing_since >= LEAVING_AFTER_SECONDS
+        )
 
-    def note_slowdown(self, name, pace, now, from_peer=False):
-        """Note what an engine says of its pace; 1 is usual, more is slow."""
+    def note_slowdown(self, name, slowdown, now, from_peer=False):
+        """Note the slowdown that an engine reported; 1 is its usual speed."""
         estimate = self.get(name)
-        if pace < SLOW_FACTOR and estimate.slowdown < SLOW_FACTOR:
+        if slowdown < SLOW_FACTOR and estimate.slowdown < SLOW_FACTOR:
             return
-        estimate.slowdown = pace
+        estimate.slowdown = slowdown
         estimate.slowdown_at = now
         estimate.slowdown_from_peer = from_peer
 
     def slowdown(self, name, now):
-        """Give how many times slower than usual an engine is believed."""
+        """Return the factor by which an engine is slower than usual."""
         estimate = self.by_endpoint.get(name)
-        if estimate is None or now - estimate.slowdown_at > SLOW_FOR:
+        if (
+            estimate is None
+            or now - estimate.slowdown_at > SLOWDOWN_VALID_SECONDS
+        ):
             return 1.0
         return estimate.slowdown
 
     def recently_slow(self, now):
-        """Give the engines that this router found slow lately."""
+        """Return the slowdown of engines that this router found slow."""
         return {
             name: round(estimate.slowdown, 1)
             for name, estimate in self.by_endpoint.items()
             if estimate.slowdown >= SLOW_FACTOR
             and not estimate.slowdown_from_peer
-            and now - estimate.slowdown_at < SLOW_AGAIN + TRUST_OWN
+            and now - estimate.slowdown_at
+            < SLOWDOWN_PROBE_SECONDS + OWN_CONTACT_SECONDS
         }
 
     def slow_to_probe(self, now):
-        """Give the engines found slow that should be asked again."""
+        """Return the slow engines that should be queried again."""
         return [
             name
             for name, estimate in self.by_endpoint.items()
             if estimate.slowdown >= SLOW_FACTOR
             and not estimate.slowdown_from_peer
-            and SLOW_AGAIN <= now - estimate.slowdown_at < SLOW_FOR
+            and SLOWDOWN_PROBE_SECONDS
+            <= now - estimate.slowdown_at
+            < SLOWDOWN_VALID_SECONDS
         ]
 
     def dead_to_probe(self, names, now):
-        """Give the endpoints believed dead that should be asked again."""
+        """Return the dead endpoints that should be probed again."""
         found = []
         for name in names:
             estimate = self.by_endpoint.get(name)
             if estimate is None or not estimate.dead:
                 continue
-            waits = (
+            awaits_peers = (
                 estimate.dead_from_peer
                 and now - estimate.dead_at < PEER_REPORT_PROBE_DELAY_SECONDS
             )
-            if estimate.ejected_until <= now and not waits:
+            if estimate.ejected_until <= now and not awaits_peers:
                 found.append(name)
         return found
 
     def note_response(self, name, failed, now):
-        """Count an answer; an endpoint that fails many is left out."""
+        """Count a response; eject an endpoint that fails repeatedly."""
         estimate = self.get(name)
-        estimate.failure_rate += SMOOTHING * (
+        estimate.failure_rate += FAILURE_SMOOTHING * (
             (1.0 if failed else 0.0) - estimate.failure_rate
         )
         estimate.consecutive_failures = (
             estimate.consecutive_failures + 1 if failed else 0
         )
-        many = estimate.consecutive_failures >= FAILING_LEAST
-        if many and estimate.failure_rate >= FAILING_SHARE:
+        is_repeated = estimate.consecutive_failures >= MIN_CONSECUTIVE_FAILURES
+        if is_repeated and estimate.failure_rate >= EJECT_FAILURE_RATE:
             if estimate.ejected_until <= now:
                 estimate.ejected_until = now + estimate.eject_seconds
                 estimate.eject_seconds = min(
-                    EJECT_MOST, estimate.eject_seconds * 2
+                    MAX_EJECT_SECONDS, estimate.eject_seconds * 2
                 )
 
     def note_load(self, name, load, now):
-        """Note the load that an endpoint tells: running and waiting."""
+        """Note the running and waiting requests that an endpoint reported."""
         estimate = self.get(name)
         estimate.reported_load = load
         estimate.active_at_report = estimate.active
@@ -318,12 +341,12 @@
         estimate.load_from_peer = False
 
     def loads_to_send(self, now):
-        """Give the loads that endpoints have told this router itself.
+        """Return the loads that endpoints reported to this router itself.
 
         Returns
         -------
         dict of str to (int, int)
-            Running and waiting requests, and milliseconds since.
+            Running and waiting requests, and the report's age in ms.
         """
         return {
             name: (
@@ -331,20 +354,20 @@
                 int((now - estimate.reported_at) * 1000.0),
             )
             for name, estimate in self.by_endpoint.items()
-            if now - estimate.reported_at < REPORT_AGE
+            if now - estimate.reported_at < MAX_REPORT_AGE_SECONDS
             and not estimate.load_from_peer
         }
 
     def merge_loads(self, loads, now):
-        """Take the loads that endpoints have told another router.
+        """Merge the loads that endpoints reported to another router.
 
-        One of hundreds of routers sends an endpoint too little to know how
-        busy it is by its own answers.
+        One of hundreds of routers sends an endpoint too few requests to
+        learn its load from the responses to these alone.
 
         Parameters
         ----------
         loads : dict of str to (int, int)
-            As `loads_to_send` gives them.
+            As returned by `loads_to_send`.
         now : float
         """
         for name, (load, age_ms) in loads.items():
@@ -355,7 +378,7 @@
                 estimate.load_from_peer = True
 
     def first_stage_load(self, name, now):
-        """Estimate the requests that an engine has as their first stage."""
+        """Estimate the requests of which an engine is the first stage."""
         estimate = self.get(name)
         others = max(
             0, estimate.reported_load - estimate.first_stages_at_report
@@ -365,63 +388,66 @@
         return estimate.first_stage_requests + others
 
     def is_ejected(self, name, now):
-        """Say whether an endpoint is left out while others can serve."""
+        """Return whether an endpoint is avoided while others can serve."""
         estimate = self.by_endpoint.get(name)
         return estimate is not None and estimate.ejected_until > now
 
     def is_dead(self, name):
-        """Say whether an endpoint is believed unreachable."""
+        """Return whether an endpoint is considered unreachable."""
         estimate = self.by_endpoint.get(name)
         return estimate is not None and estimate.dead
 
     def merge_gossip(self, router, tokens, dead, now, slow=None, refusing=()):
-        """Take what another router tells of its load and of lost engines.
+        """Merge the load and engine states that another router sent.
 
         Parameters
         ----------
         router : str
         tokens : dict of str to float
-            Tokens times layers of its requests, by engine.
+            Tokens times layers of its requests, by engine id.
         dead : list of str
-            Engines that it could not reach a moment ago.
+            Engines that it recently found unreachable.
         now : float
         slow : dict of str to float, optional
-            Paces of engines that it found slow.
+            Slowdowns of engines that it found slow.
         refusing : list of str
-            Engines that refuse its requests.
+            Engines that refuse its requests despite free memory.
         """
         for name in refusing:
             estimate = self.by_endpoint.get(name)
             if estimate is not None and estimate.backoff_until <= now:
                 self.note_refusal(name, now, from_peer=True, has_memory=True)
-        for name, pace in (slow or {}).items():
+        for name, slowdown in (slow or {}).items():
             estimate = self.by_endpoint.get(name)
             if (
                 estimate is not None
-                and now - estimate.slowdown_at > SLOW_AGAIN
+                and now - estimate.slowdown_at > SLOWDOWN_PROBE_SECONDS
             ):
-                self.note_slowdown(name, pace, now, from_peer=True)
+                self.note_slowdown(name, slowdown, now, from_peer=True)
         self.peer_tokens[router] = now, tokens
         for name in dead:
             estimate = self.by_endpoint.get(name)
             if estimate is None or estimate.dead:
                 continue
-            # Word of the loss may come after word of the return.
-            was_back = now - estimate.recovered_at < DEAD_NEWS
-            if now - estimate.answered_at > TRUST_OWN and not was_back:
+            # The report of the loss may arrive after that of the recovery.
+            has_recovered = now - estimate.recovered_at < DEAD_GOSSIP_SECONDS
+            if (
+                now - estimate.answered_at > OWN_CONTACT_SECONDS
+                and not has_recovered
+            ):
                 self.note_unreachable(name, now, from_peer=True)
 
     def peer_token_totals(self, now):
-        """Give other routers' tokens times layers, by engine."""
+        """Return the tokens times layers of other routers, by engine."""
         totals = {}
-        for at, told in self.peer_tokens.values():
-            if now - at < TOLD_AGE:
-                for name, tokens in told.items():
+        for at, by_engine in self.peer_tokens.values():
+            if now - at < MAX_PEER_TOKENS_AGE_SECONDS:
+                for name, tokens in by_engine.items():
                     totals[name] = totals.get(name, 0.0) + tokens
         return totals
 
     def own_tokens(self):
-        """Give this router's tokens times layers, by engine."""
+        """Return the tokens times layers of this router, by engine."""
         return {
             name: estimate.tokens
             for name, estimate in self.by_endpoint.items()
@@ -429,43 +455,43 @@
         }
 
     def recently_dead(self, now):
-        """Give the engines that this router found dead within a second.
+        """Return the engines that this router itself recently found dead.
 
-        What it was only told is not passed on: two routers would tell each
-        other of an engine that has long answered again.
+        Reports of peers are not forwarded: two routers would keep sending
+        each other the loss of an engine that has long recovered.
         """
         return [
             name
             for name, estimate in self.by_endpoint.items()
             if estimate.dead
             and not estimate.dead_from_peer
-            and now - estimate.dead_at < DEAD_NEWS
+            and now - estimate.dead_at < DEAD_GOSSIP_SECONDS
         ]
 
     def queue_length(self, name, now):
-        """Estimate the requests at a plain endpoint.
+        """Estimate the requests at an endpoint of a plain service.
 
-        The part that others sent is as told with the latest answer; it is
-        corrected by what this router has sent and got back since.
+        The part sent by other routers is taken from the latest load report;
+        this router's own requests are counted as they are now.
         """
         estimate = self.get(name)
         others = max(0, estimate.reported_load - estimate.active_at_report)
-        if now - estimate.reported_at > REPORT_AGE:
+        if now - estimate.reported_at > MAX_REPORT_AGE_SECONDS:
             others = 0
         return estimate.active + others
 
     def rank(self, endpoints, now, draw):
-        """Order endpoints of a plain service, the best first.
+        """Sort endpoints of a plain service, the best first.
 
         Parameters
         ----------
         endpoints : list of routing.Endpoint
         now : float
         draw : callable
-            Random numbers, to break ties.
+            Returns random numbers, which break ties.
         """
 
-        def rank(endpoint):
+        def sort_key(endpoint):
             slots = max(1, endpoint.slots)
             load = self.queue_length(endpoint.id, now) / slots
             return (
@@ -474,10 +500,10 @@
                 draw(),
             )
 
-        return sorted(endpoints, key=rank)
+        return sorted(endpoints, key=sort_key)
 
     def _exclusion_reason(self, name, now, avoid):
-        """Give why an engine gets no requests now, or None if it may."""
+        """Return why an engine gets no requests now, None if it does."""
         estimate = self.get(name)
         if estimate.dead:
             return 'lost'
@@ -488,7 +514,7 @@
         return 'tried' if name in avoid else None
 
     def excluded_ranges(self, endpoints, now, avoid=()):
-        """Give the ranges of engines that get no requests now.
+        """Return the ranges of engines that get no requests now.
 
         Returns
         -------
@@ -496,16 +522,19 @@
         """
         found = []
         for each in endpoints:
-            why = self._exclusion_reason(each.id, now, avoid)
-            if why is not None and each.holding is not None:
+            reason = self._exclusion_reason(each.id, now, avoid)
+            if reason is not None and each.holding is not None:
                 held = each.holding
-                found.append(shortage.ExcludedRange(held.first, held.end, why))
+                found.append(
+                    shortage.ExcludedRange(held.first, held.end, reason)
+                )
         return found
 
     def holders(self, endpoints, model, now, avoid=()):
-        """Give the engines of a model as chains see them.
+        """Return the engines of a model that may be stages of a chain.
 
-        Memory in use is what this router has sent, and what others tell.
+        Their memory in use is that of this router's requests and of those
+        that other routers reported.
         """
         others = self.peer_token_totals(now)
         found = []
@@ -536,7 +565,7 @@
         return found
 
     def note_memory_use(self, holders):
-        """Note how full the fullest of a model's engines is."""
+        """Note the highest memory use among a model's engines."""
         shares = [h.used / h.capacity for h in holders if h.capacity > 0]
         self.max_memory_use = max(shares, default=0.0)
 
--- a/packages/policy/ibisring_policy/gateway/tests/test_estimates.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""Tests of what a router believes of endpoints."""
+"""Tests of the estimates of endpoints' load and health."""
 
 import random
 
@@ -7,82 +7,80 @@
 from ibisring_policy.gateway.tests import builders as build
 
 
-def _holders(book, now=10.0):
+def _holders(table, now=10.0):
     endpoints = [
         build.held_endpoint('x', 0, 8),
         build.held_endpoint('y', 8, 16),
     ]
-    return {h.id: h for h in book.holders(endpoints, build.model(), now)}
+    return {h.id: h for h in table.holders(endpoints, build.model(), now)}
 
 
-def test_a_lost_engine_stays_out_until_it_answers():
-    """Symptom: streams stall for seconds, again and again.
+def test_a_dead_engine_is_excluded_until_it_responds():
+    """Failure: streams repeatedly stall for seconds.
 
-    Sequence: an engine is gone for good; its entry stays for some seconds;
-    each time its ejection lapsed it was put into chains again.
-    Cause: time alone brought it back.
+    An engine is gone for good while its entry remains for some seconds; it
+    must not return to chains merely because its ejection has expired.
     """
-    book = estimates.make_estimate_table()
-    book.note_unreachable('x', 10.0)
-    assert 'x' not in _holders(book, 10.1)
-    assert 'x' not in _holders(book, 100.0)
-    assert book.dead_to_probe(['x', 'y'], 11.0) == ['x']
-    book.note_reachable('x', 101.0)
-    assert 'x' in _holders(book, 101.0)
+    table = estimates.make_estimate_table()
+    table.note_unreachable('x', 10.0)
+    assert 'x' not in _holders(table, 10.1)
+    assert 'x' not in _holders(table, 100.0)
+    assert table.dead_to_probe(['x', 'y'], 11.0) == ['x']
+    table.note_reachable('x', 101.0)
+    assert 'x' in _holders(table, 101.0)
 
 
-def test_a_dead_engine_is_asked_less_and_less_often():
-    book = estimates.make_estimate_table()
+def test_a_dead_engine_is_probed_with_exponential_backoff():
+    table = estimates.make_estimate_table()
     now = 0.0
-    asked = 0
+    probes = 0
     while now < 20.0:
-        if not book.by_endpoint or book.dead_to_probe(['x'], now):
-            book.note_unreachable('x', now)
-            asked += 1
+        if not table.by_endpoint or table.dead_to_probe(['x'], now):
+            table.note_unreachable('x', now)
+            probes += 1
         now += 0.1
-    assert 6 <= asked <= 10
+    assert 6 <= probes <= 10
 
 
-def test_a_full_engine_is_left_out_for_a_moment():
-    book = estimates.make_estimate_table()
-    book.note_refusal('x', 10.0)
-    assert 'x' not in _holders(book, 10.1)
-    assert 'x' in _holders(book, 11.0)
+def test_an_engine_is_excluded_briefly_after_a_refusal():
+    table = estimates.make_estimate_table()
+    table.note_refusal('x', 10.0)
+    assert 'x' not in _holders(table, 10.1)
+    assert 'x' in _holders(table, 11.0)
 
 
-def test_load_of_other_routers_counts():
-    book = estimates.make_estimate_table()
-    book.merge_gossip('r2', {'x': 500.0}, [], 10.0)
-    book.merge_gossip('r3', {'x': 200.0}, [], 10.0)
-    assert _holders(book, 10.5)['x'].used == 700.0
-    book.merge_gossip('r2', {}, [], 11.0)
-    assert _holders(book, 11.0)['x'].used == 200.0
-    assert _holders(book, 60.0)['x'].used == 0.0
+def test_the_load_of_other_routers_is_included():
+    table = estimates.make_estimate_table()
+    table.merge_gossip('r2', {'x': 500.0}, [], 10.0)
+    table.merge_gossip('r3', {'x': 200.0}, [], 10.0)
+    assert _holders(table, 10.5)['x'].used == 700.0
+    table.merge_gossip('r2', {}, [], 11.0)
+    assert _holders(table, 11.0)['x'].used == 200.0
+    assert _holders(table, 60.0)['x'].used == 0.0
 
 
-def test_news_of_a_lost_engine_is_believed_unless_it_just_answered():
-    book = estimates.make_estimate_table()
-    book.get('x').answered_at = 9.95
-    book.get('y').answered_at = 5.0
-    book.merge_gossip('r2', {}, ['x', 'y', 'unknown'], 10.0)
-    assert not book.is_dead('x')
-    assert book.is_dead('y')
-    assert 'unknown' not in book.by_endpoint
+def test_a_peer_report_of_a_loss_yields_to_own_recent_contact():
+    table = estimates.make_estimate_table()
+    table.get('x').answered_at = 9.95
+    table.get('y').answered_at = 5.0
+    table.merge_gossip('r2', {}, ['x', 'y', 'unknown'], 10.0)
+    assert not table.is_dead('x')
+    assert table.is_dead('y')
+    assert 'unknown' not in table.by_endpoint
 
 
-def test_news_of_a_lost_engine_does_not_go_round():
-    """Symptom: a healthy engine is left out for seconds, by all routers.
+def test_a_peer_report_of_a_loss_is_not_forwarded():
+    """Failure: all routers exclude a healthy engine for seconds.
 
-    Sequence: one router finds it dead and tells others; it answers again;
-    the others, who believed the news, tell it back to the first.
-    Cause: news that was only heard was passed on as if it were found.
+    A router finds the engine dead and reports it; after the engine has
+    recovered, routers that forward the report send it back to the first.
     """
     first, second = (
         estimates.make_estimate_table(),
         estimates.make_estimate_table(),
     )
-    for book in (first, second):
-        book.get('x').answered_at = 0.0
+    for table in (first, second):
+        table.get('x').answered_at = 0.0
     first.note_unreachable('x', 10.0)
     second.merge_gossip('r1', {}, first.recently_dead(10.1), 10.1)
     assert second.is_dead('x')
@@ -92,106 +90,106 @@
     assert not first.is_dead('x')
 
 
-def test_a_lost_engine_is_asked_by_those_that_found_it():
-    """Load: nine engines are away for three seconds before 195 routers.
+def test_a_dead_engine_is_probed_by_routers_that_detected_it():
+    """Failure: probes of dead engines grow with the number of routers.
 
-    Each router asked each of them four times, on connections of their own.
+    When nine engines were unreachable for three seconds, each of 195
+    routers probed each of them four times on separate connections.
     """
-    finder, others = (
+    detector, peers = (
         estimates.make_estimate_table(),
         estimates.make_estimate_table(),
     )
-    others.get('x')
-    finder.note_unreachable('x', 10.0)
-    others.merge_gossip('r1', {}, finder.recently_dead(10.1), 10.1)
-    assert finder.dead_to_probe(['x'], 10.6) == ['x']
-    assert others.dead_to_probe(['x'], 10.6) == []
-    finder.note_reachable('x', 12.0)
-    others.merge_recovered(finder.recently_recovered(12.1), 12.2)
-    assert not others.is_dead('x')
-    assert others.recently_recovered(12.2) == []
-    others.merge_gossip('r3', {}, ['x'], 12.3)
-    assert not others.is_dead('x')
-
-
-def test_a_lost_engine_is_asked_though_its_finder_is_gone():
-    """Failure: nobody tells that an engine is back."""
-    book = estimates.make_estimate_table()
-    book.get('x')
-    book.merge_gossip('r1', {}, ['x'], 10.0)
-    asks_at = 10.0 + estimates.PEER_REPORT_PROBE_DELAY_SECONDS
-    assert book.dead_to_probe(['x'], asks_at) == ['x']
-
-
-def test_what_is_reserved_is_given_back():
-    book = estimates.make_estimate_table()
+    peers.get('x')
+    detector.note_unreachable('x', 10.0)
+    peers.merge_gossip('r1', {}, detector.recently_dead(10.1), 10.1)
+    assert detector.dead_to_probe(['x'], 10.6) == ['x']
+    assert peers.dead_to_probe(['x'], 10.6) == []
+    detector.note_reachable('x', 12.0)
+    peers.merge_recovered(detector.recently_recovered(12.1), 12.2)
+    assert not peers.is_dead('x')
+    assert peers.recently_recovered(12.2) == []
+    peers.merge_gossip('r3', {}, ['x'], 12.3)
+    assert not peers.is_dead('x')
+
+
+def test_a_dead_engine_is_probed_if_its_recovery_is_not_reported():
+    """Failure: an engine stays excluded after its detector has stopped."""
+    table = estimates.make_estimate_table()
+    table.get('x')
+    table.merge_gossip('r1', {}, ['x'], 10.0)
+    probe_at = 10.0 + estimates.PEER_REPORT_PROBE_DELAY_SECONDS
+    assert table.dead_to_probe(['x'], probe_at) == ['x']
+
+
+def test_release_undoes_reserve():
+    table = estimates.make_estimate_table()
     stages = [
         chains.Stage('x', 'x:1', 0, 8),
         chains.Stage('y', 'y:1', 8, 16),
     ]
-    book.reserve(stages, 100.0)
-    assert book.own_tokens() == {'x': 800.0, 'y': 800.0}
-    assert book.get('x').first_stage_requests == 1
-    book.release(stages, 100.0)
-    assert book.own_tokens() == {}
-    assert book.get('x').first_stage_requests == 0
+    table.reserve(stages, 100.0)
+    assert table.own_tokens() == {'x': 800.0, 'y': 800.0}
+    assert table.get('x').first_stage_requests == 1
+    table.release(stages, 100.0)
+    assert table.own_tokens() == {}
+    assert table.get('x').first_stage_requests == 0
 
 
-def test_an_endpoint_that_fails_many_is_left_out():
-    book = estimates.make_estimate_table()
+def test_an_endpoint_that_fails_repeatedly_is_ranked_last():
+    table = estimates.make_estimate_table()
     endpoints = [build.endpoint('bad'), build.endpoint('good')]
     for _ in range(3):
-        book.note_response('bad', True, 10.0)
-    ranked = book.rank(endpoints, 10.1, random.Random(1).random)
+        table.note_response('bad', True, 10.0)
+    ranked = table.rank(endpoints, 10.1, random.Random(1).random)
     assert [e.id for e in ranked] == ['good', 'bad']
 
 
-def test_one_unlucky_answer_does_not_eject():
-    book = estimates.make_estimate_table()
-    book.note_response('x', True, 10.0)
-    assert not book.is_ejected('x', 10.0)
+def test_a_single_failure_does_not_eject():
+    table = estimates.make_estimate_table()
+    table.note_response('x', True, 10.0)
+    assert not table.is_ejected('x', 10.0)
 
 
-def test_the_less_loaded_endpoint_comes_first():
-    book = estimates.make_estimate_table()
+def test_the_less_loaded_endpoint_is_ranked_first():
+    table = estimates.make_estimate_table()
     endpoints = [build.endpoint('busy'), build.endpoint('idle')]
-    book.note_load('busy', 5, 10.0)
-    ranked = book.rank(endpoints, 10.1, random.Random(1).random)
+    table.note_load('busy', 5, 10.0)
+    ranked = table.rank(endpoints, 10.1, random.Random(1).random)
     assert ranked[0].id == 'idle'
     later = {
-        book.rank(endpoints, 20.0, random.Random(n).random)[0].id
+        table.rank(endpoints, 20.0, random.Random(n).random)[0].id
         for n in range(20)
     }
     assert later == {'busy', 'idle'}
 
 
-def test_endpoints_that_are_gone_are_forgotten():
-    book = estimates.make_estimate_table()
-    book.get('gone')
-    book.get('held').active = 1
-    book.retain({'here'})
-    assert set(book.by_endpoint) == {'held'}
+def test_removed_endpoints_are_dropped_unless_active():
+    table = estimates.make_estimate_table()
+    table.get('gone')
+    table.get('held').active = 1
+    table.retain({'here'})
+    assert set(table.by_endpoint) == {'held'}
 
 
-def test_a_slow_engine_is_gone_round_while_it_says_so():
-    """Symptom: all streams of a domain pause for half a second and more.
+def test_a_slow_engine_is_avoided_while_its_report_is_recent():
+    """Failure: all streams of a failure domain pause for over 0.5 s.
 
-    Sequence: one of ten stages becomes twelve times slower; it answers, so
-    it is not lost; requests go on through it beside another holder.
-    Cause: only engines that do not answer were left out.
+    One of ten stages becomes twelve times slower but still responds, so it
+    is not dead, and is used although another engine holds its layers.
     """
-    book = estimates.make_estimate_table()
-    usual = _holders(book)['x'].step_factor
-    book.note_slowdown('x', 12.0, 10.0)
-    assert _holders(book, 10.1)['x'].step_factor == 12.0 * usual
-    assert book.slow_to_probe(11.1) == ['x']
-    book.note_slowdown('x', 1.0, 11.2)
-    assert _holders(book, 11.3)['x'].step_factor == usual
-    book.note_slowdown('x', 12.0, 20.0)
-    assert _holders(book, 30.0)['x'].step_factor == usual
-
-
-def test_slowness_is_told_by_the_router_that_found_it():
+    table = estimates.make_estimate_table()
+    usual = _holders(table)['x'].step_factor
+    table.note_slowdown('x', 12.0, 10.0)
+    assert _holders(table, 10.1)['x'].step_factor == 12.0 * usual
+    assert table.slow_to_probe(11.1) == ['x']
+    table.note_slowdown('x', 1.0, 11.2)
+    assert _holders(table, 11.3)['x'].step_factor == usual
+    table.note_slowdown('x', 12.0, 20.0)
+    assert _holders(table, 30.0)['x'].step_factor == usual
+
+
+def test_a_slowdown_reported_by_a_peer_is_not_forwarded():
     first, second = (
         estimates.make_estimate_table(),
         estimates.make_estimate_table(),
@@ -205,36 +203,36 @@
     )
 
 
-def test_a_usual_pace_is_no_news():
-    book = estimates.make_estimate_table()
-    book.note_slowdown('x', 1.1, 10.0)
-    assert book.slowdown('x', 10.0) == 1.0
+def test_a_small_slowdown_is_ignored():
+    table = estimates.make_estimate_table()
+    table.note_slowdown('x', 1.1, 10.0)
+    assert table.slowdown('x', 10.0) == 1.0
 
 
-def test_an_engine_that_refuses_everything_rests_longer_and_longer():
-    """Symptom: 83 requests end refused after one try, for want of repeats.
+def test_the_backoff_of_an_engine_that_keeps_refusing_grows():
+    """Failure: requests are refused because the retry budget is used up.
 
-    Sequence: two engines leave while the store can't say so; they refuse
-    all they get; each is tried again after 0.3 s by each router.
-    Cause: every refusal was taken for a moment's want of memory.
+    Two engines leave during a store outage and refuse everything.  If each
+    refusal counts as a brief lack of memory, every router sends to them
+    again after 0.3 s; 83 requests were then refused after one attempt.
     """
-    book = estimates.make_estimate_table()
+    table = estimates.make_estimate_table()
     refusals, now = 0, 10.0
     while now < 20.0:
-        if 'x' in _holders(book, now):
-            book.note_refusal('x', now, has_memory=True)
+        if 'x' in _holders(table, now):
+            table.note_refusal('x', now, has_memory=True)
             refusals += 1
         now += 0.05
     assert refusals <= 7
-    book.note_accepted(['x'], sent_at=now - 5.0)
-    assert 'x' not in _holders(book, now)
-    book.note_accepted(['x'], sent_at=now)
-    book.note_refusal('x', now)
-    assert 'x' in _holders(book, now + estimates.MIN_BACKOFF_SECONDS)
+    table.note_accepted(['x'], sent_at=now - 5.0)
+    assert 'x' not in _holders(table, now)
+    table.note_accepted(['x'], sent_at=now)
+    table.note_refusal('x', now)
+    assert 'x' in _holders(table, now + estimates.MIN_BACKOFF_SECONDS)
 
 
-def test_a_refusal_is_told_to_others_once():
-    """Load: six routers before an engine that leaves, and one that is full."""
+def test_a_refusal_reported_by_a_peer_is_not_forwarded():
+    """Failure: routers keep an engine excluded by repeating each other."""
     first, second = (
         estimates.make_estimate_table(),
         estimates.make_estimate_table(),
@@ -249,18 +247,18 @@
     assert first.refusing(10.0 + estimates.MIN_BACKOFF_SECONDS) == []
 
 
-def test_an_engine_that_refuses_with_memory_free_seems_to_leave():
-    """Symptom: a domain refuses requests for the eight seconds of an outage.
+def test_an_engine_that_refuses_despite_free_memory_is_leaving():
+    """Failure: a failure domain refuses requests for a whole store outage.
 
-    Sequence: an engine that alone holds its layers leaves; its entry can't
-    say so while the store is away; it refuses whatever it gets.
-    Cause: only entries and silence told that an engine is gone.
+    An engine that alone holds its layers leaves.  Its entry can't change
+    during the outage, here of eight seconds, and since it refuses requests
+    rather than not responding, it is not considered dead either.
     """
-    book = estimates.make_estimate_table()
+    table = estimates.make_estimate_table()
     for at in (10.0, 10.35, 11.0):
-        book.note_refusal('x', at, has_memory=True)
-        book.note_refusal('y', at)
-    assert book.is_probably_leaving('x', 11.1)
-    assert not book.is_probably_leaving('y', 11.1)
-    book.note_accepted(['x'], sent_at=11.1)
-    assert not book.is_probably_leaving('x', 11.2)
+        table.note_refusal('x', at, has_memory=True)
+        table.note_refusal('y', at)
+    assert table.is_probably_leaving('x', 11.1)
+    assert not table.is_probably_leaving('y', 11.1)
+    table.note_accepted(['x'], sent_at=11.1)
+    assert not table.is_probably_leaving('x', 11.2)
