--- a/packages/policy/ibisring_policy/gateway/chains.py
+++ b/packages/policy/ibisring_policy/gateway/chains.py
@@ -1,8 +1,8 @@
-"""Chains of engines for a request, chosen by time, memory and exposure.
+"""Choice of a chain of engines for a request, by time, memory and exposure.
 
-A chain runs each layer once and in order.  An engine may run a part of what
-it holds, so chains can change from one engine to another at any boundary of
-anyone's range.
+A chain runs each layer once and in order.  An engine may run a part of the
+layers that it holds, so chains can change from one engine to another at any
+boundary of any engine's range.
 """
 
 __all__ = [
@@ -17,48 +17,51 @@
 from ibisring_policy import plans
 import msgspec
 
-# Costs are in layers run at pace 1, which take 0.09 ms an event each with the
-# wait for the pass under way (fitted to 3,191 streams of three calm days:
-# 0.22, 0.48 and 1.4 ms a layer on cards of pace 2.4, 5.3 and 16).
-# One more stage: 0.5 ms an event for the hop, and one more engine whose loss
-# pauses the stream; a stream of 3 s meets the loss of one in 150 on a bad day.
+# The unit of cost is one layer at step factor 1, which takes 0.09 ms per event
+# including the wait for the forward pass under way (fitted to 3,191 streams of three
+# days without failures: 0.22, 0.48 and 1.4 ms per layer on cards of step
+# factor 2.4, 5.3 and 16).
+# One more stage: 0.5 ms per event for the hop, and one more engine whose loss
+# pauses the stream; on a day with many failures, one in 150 streams of 3 s
+# meets such a loss.
 STAGE_COST = 25.0
-# Passing between failure domains in the middle of a chain: the prompt's
-# activations take some 11 to 30 ms of a pipe that all chains share.
+# A crossing between failure domains within a chain: the activations of the
+# prompt take some 11 to 30 ms of a link that all chains share.
 CROSSING_COST = 640.0
-# A first engine in another failure domain than the router's: its whole answer
-# crosses, event by event.  At 200 the bytes between domains fell by 0.4 on a
-# calm day and 0.25 on days of trouble against 50, and as many answers were
-# in time.
-AWAY_COST = 200.0
-# A first engine whose slots are over half taken, by what is taken beyond that
-# over what is free: at four fifths a slower one, or one in another domain, is
-# as good.  A request that finds no slot waits for the end of another.
-HEADS_COST = 100.0
-LEAST_FREE = 0.05
-# Share by which routers that were told the same take first engines to be more
-# or less full.
-HEADS_VARY = 0.2
-# Share of an engine's memory for prompts, or of its slots, up to which its use
-# costs nothing.
-HALF_FULL = 0.5
-# Paths looked for before a group of engines counts as full.
-MOST_PATHS = 4
-# An engine counts as full at this share of its memory for prompts: other
-# routers' requests are known with a delay only.
+# A first stage in another failure domain than the router's: the whole response
+# crosses, event by event.  Compared with 50, 200 reduced the traffic between
+# domains by 40 % on a day without failures and by 25 % on days with failures,
+# with as many responses in time.
+REMOTE_FIRST_STAGE_COST = 200.0
+# A first stage with more than half of its slots taken, multiplied by the
+# excess over the free share: at four fifths, a slower engine or one in another
+# domain is as good.  A request that finds no slot waits until another ends.
+SLOT_COST = 100.0
+MIN_FREE_SLOT_SHARE = 0.05
+# Random variation of the slot use of first stages, so that routers which
+# received the same state choose differently.
+SLOT_USE_JITTER = 0.2
+# Share of an engine's memory for prompts, or of its slots, that can be used
+# at no extra cost.
+COST_FREE_SHARE = 0.5
+# Number of paths tried before a group of engines counts as full.
+MAX_PATHS = 4
+# An engine counts as full at this share of its memory for prompts, since the
+# requests of other routers are known only after a delay.
 FULL_SHARE = 0.95
-# Share of the longest answer that is expected, with no better estimate.
-ANSWER_SHARE = 0.6
-# Share of the expected answer that is reserved.  An engine runs dozens of
-# requests at all stages of their answers, half written on average.  With the
-# whole reserved, engines reported 0.82 of what was booked (21,000 reports)
-# and 1,668 requests were refused for room on fifteen days; with half 982, at
-# 1 to 24 preempted requests on six of these days.
-WRITTEN_SHARE = 0.5
+# Share of the longest response that is expected without a better estimate.
+EXPECTED_RESPONSE_SHARE = 0.6
+# Share of the expected response for which memory is reserved.  An engine runs
+# dozens of requests at various points of their responses, half written on
+# average.  With the whole response reserved, engines reported 0.82 of the
+# reserved memory as used (21,000 reports), and 1,668 requests were refused
+# for lack of memory on fifteen days; with half of it 982 were, with 1 to 24
+# preempted requests on six of these days.
+RESERVED_RESPONSE_SHARE = 0.5
 
 
 class Stage(msgspec.Struct, frozen=True):
-    """A part of a chain: an endpoint, and the layers that it runs."""
+    """A stage of a chain: an endpoint, and the range of layers it runs."""
 
     endpoint: str
     address: str
@@ -67,21 +70,21 @@
 
     @property
     def first_layer(self):
-        """Lowest layer."""
+        """Lowest layer that the stage runs."""
         return self.first
 
     @property
     def last_layer(self):
-        """Highest layer, inclusive."""
+        """Highest layer that the stage runs, inclusive."""
         return self.end - 1
 
 
 class Holder(msgspec.Struct):
-    """An engine that may be part of a chain.
+    """An engine that holds layers and may run a stage of a chain.
 
-    `capacity` is memory for prompts in tokens times layers, `used` how much
-    of it is taken; `step_factor` is its time for all layers over that of the
-    fastest kind of card; `slot_use` the share of its slots taken.
+    `capacity` is its memory for prompts in tokens times layers, and `used`
+    the part that is reserved; `step_factor` is its time per layer relative to
+    the fastest kind of card; `slot_use` is the share of its slots in use.
     """
 
     id: str
@@ -96,9 +99,9 @@
 
 
 class Demand(msgspec.Struct):
-    """What a chain must carry: tokens of one request, and where it begins.
+    """Requirements of a request: its tokens, its layers, the router's domain.
 
-    `may_cross` allows a chain over several failure domains.
+    `may_cross` allows a chain through several failure domains.
     """
 
     tokens: float
@@ -108,57 +111,57 @@
     may_cross: bool = True
 
 
-def tokens_needed(prompt, longest_answer, hint=None):
-    """Give the tokens that a request holds in memory, over its life.
+def tokens_needed(prompt, max_response, hint=None):
+    """Return the tokens of memory to reserve for a request.
 
     Parameters
     ----------
-    prompt, longest_answer : int
+    prompt, max_response : int
     hint : int or None
-        The caller's guess of the answer's length.
+        The caller's estimate of the response's length.
     """
-    expected = longest_answer * ANSWER_SHARE
+    expected = max_response * EXPECTED_RESPONSE_SHARE
     if hint:
-        expected = min(longest_answer, max(hint, 0.25 * longest_answer))
-    return prompt + WRITTEN_SHARE * expected
+        expected = min(max_response, max(hint, 0.25 * max_response))
+    return prompt + RESERVED_RESPONSE_SHARE * expected
 
 
 def jitter_slot_use(holders, draw):
-    """Change the shares of slots that are taken a little, at random.
+    """Vary the slot use of engines a little at random, in place.
 
-    Hundreds of routers that were told the same would all send to the same
-    first engine until they are told again, and fill it.
+    Hundreds of routers that received the same state would otherwise all send
+    to the same first stage until the next update, and fill it.
 
     Parameters
     ----------
     holders : list of Holder
     draw : callable
-        Gives random numbers from 0 up to, without, 1.
+        Returns random numbers from 0 up to but excluding 1.
     """
     for holder in holders:
-        holder.slot_use *= 1.0 + HEADS_VARY * (2.0 * draw() - 1.0)
+        holder.slot_use *= 1.0 + SLOT_USE_JITTER * (2.0 * draw() - 1.0)
 
 
 def choose(holders, demand, layers, noise, first_stages=None):
-    """Give the best chain, or None if no chain has room.
+    """Return the cheapest chain, or None if no chain has room.
 
-    A chain stays in one failure domain if any domain has one with room.
-    A prompt that crosses takes some 30 ms of a pipe that all share; at the
-    usual load every second prompt would fill it, and then all that cross
-    wait, also for the stages that are not at fault.
+    A chain stays within one failure domain if any domain has one with room.
+    A prompt that crosses domains takes some 30 ms of a link that all chains
+    share; at the usual load half of the prompts would saturate it, and all
+    crossing requests would wait, including those of unaffected stages.
 
     Parameters
     ----------
     holders : list of Holder
     demand : Demand
-        `first` and `end` bound the layers wanted.
+        `first` and `end` delimit the layers to run.
     layers : int
-        Layers of the whole model.
+        Number of layers of the model.
     noise : callable
-        Gives a factor around 1.0 for each holder, so that routers which
-        know the same do not all take the same chain.
+        Returns a factor around 1.0 for each holder, so that routers with
+        the same state do not all choose the same chain.
     first_stages : collection of str or None
-        Only these endpoints may be the first stage.
+        Endpoints that may run the first stage; None allows all.
 
     Returns
     -------
@@ -166,13 +169,13 @@
 
     Notes
     -----
-    A shortest path over layer boundaries and failure domains.  The work
-    grows with the holders times the square of the boundaries inside one
-    range: 0.4 ms for 13 engines, 3 ms for 98.
+    Finds a shortest path over layer boundaries and failure domains.  The
+    time grows with the number of holders times the square of the boundaries
+    within one range: 0.4 ms for 13 engines, 3 ms for 98.
     """
     costs = {}
     for holder in holders:
-        cost = _cost_a_layer(holder)
+        cost = _cost_per_layer(holder)
         if cost is not None:
             costs[holder.id] = cost * noise()
     found = [
@@ -199,33 +202,33 @@
 
 
 def _cheapest(holders, demand, costs, first_stages):
-    """Give cost and stages of the best chain of some engines, or None.
+    """Return cost and stages of the cheapest chain, or None.
 
     When engines are nearly full, a shortest path may pass through one of
-    them twice, since each of the two pieces fits by itself.  That one is
-    then tried with its longer piece only: giving up would refuse requests
-    for which there is room.
+    them twice, since each of the two stages fits by itself.  The engine is
+    then restricted to the longer stage and the search repeated: giving up
+    would refuse requests for which there is room.
     """
-    for _ in range(MOST_PATHS):
+    for _ in range(MAX_PATHS):
         found = _shortest_path(holders, demand, costs, first_stages)
         if found is None:
             return None
-        again = _used_twice(found[1])
-        if again is None:
+        repeated = _repeated_stage(found[1])
+        if repeated is None:
             return found
-        holders = _narrowed(holders, again)
+        holders = _restrict_to(holders, repeated)
     return None
 
 
-def _used_twice(stages):
-    """Give the longest stage of an engine with several, or None."""
+def _repeated_stage(stages):
+    """Return the longest stage of an engine that has several, or None."""
     names = [stage.endpoint for stage in stages]
-    twice = [stage for stage in stages if names.count(stage.endpoint) > 1]
-    return max(twice, key=lambda s: s.end - s.first, default=None)
+    repeated = [stage for stage in stages if names.count(stage.endpoint) > 1]
+    return max(repeated, key=lambda s: s.end - s.first, default=None)
 
 
-def _narrowed(holders, stage):
-    """Leave one engine a single stage, which it may run or not."""
+def _restrict_to(holders, stage):
+    """Restrict the engine of a stage to the range of that stage."""
     return [
         (
             msgspec.structs.replace(each, first=stage.first, end=stage.end)
@@ -240,8 +243,10 @@
     points = _boundaries(holders, demand)
     best = {(demand.first, None): (0.0, None, None)}
     for point in points:
-        _step(holders, demand, costs, points, point, best, first_stages)
-    return _trace(best, demand, holders)
+        _extend_paths(
+            holders, demand, costs, points, point, best, first_stages
+        )
+    return _build_chain(best, demand, holders)
 
 
 def _boundaries(holders, demand):
@@ -252,17 +257,17 @@
     return sorted(p for p in points if demand.first <= p <= demand.end)
 
 
-def _cost_a_layer(holder):
-    """Cost of running one layer, or None if the engine is full."""
+def _cost_per_layer(holder):
+    """Return the cost of running a layer, or None if the engine is full."""
     used = holder.used / holder.capacity if holder.capacity > 0 else 1.0
     if used >= FULL_SHARE:
         return None
-    scarce = max(1.0, (1.0 - HALF_FULL) / (1.0 - used)) ** 2
-    return holder.step_factor * scarce
+    scarcity = max(1.0, (1.0 - COST_FREE_SHARE) / (1.0 - used)) ** 2
+    return holder.step_factor * scarcity
 
 
-def _step(holders, demand, costs, points, point, best, first_stages):
-    """Extend every chain that ends at a boundary by one stage."""
+def _extend_paths(holders, demand, costs, points, point, best, first_stages):
+    """Extend each partial chain that ends at a boundary by one stage."""
     states = [(k, v[0]) for k, v in best.items() if k[0] == point]
     if not states:
         return
@@ -284,31 +289,33 @@
             if size <= 0 or end > holder.end or demand.tokens * size > free:
                 continue
             total = before + STAGE_COST + size * costs[holder.id]
-            total += _heads_cost(holder) if point == 0 else 0.0
+            total += _slot_cost(holder) if point == 0 else 0.0
             state = (end, holder.domain)
             if state not in best or total < best[state][0]:
                 best[state] = (total, origin, holder.id)
 
 
 def _may_be_first(holder, first_stages):
-    """Say whether an engine may be a first stage; only there slots count."""
+    """Return whether an engine may run a first stage, which needs a slot."""
     return holder.slot_use < 1.0 and (
         first_stages is None or holder.id in first_stages
     )
 
 
-def _heads_cost(holder):
-    beyond = max(0.0, holder.slot_use - HALF_FULL)
-    return HEADS_COST * beyond / max(LEAST_FREE, 1.0 - holder.slot_use)
+def _slot_cost(holder):
+    excess = max(0.0, holder.slot_use - COST_FREE_SHARE)
+    return SLOT_COST * excess / max(MIN_FREE_SLOT_SHARE, 1.0 - holder.slot_use)
 
 
 def _entry_cost(holder, previous, demand):
     if previous is None:
-        return 0.0 if holder.domain == demand.domain else AWAY_COST
+        return (
+            0.0 if holder.domain == demand.domain else REMOTE_FIRST_STAGE_COST
+        )
     return 0.0 if holder.domain == previous else CROSSING_COST
 
 
-def _trace(best, demand, holders):
+def _build_chain(best, demand, holders):
     ends = [key for key in best if key[0] == demand.end]
     if not ends:
         return None
--- a/packages/policy/ibisring_policy/gateway/tests/test_chains.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_chains.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of chains."""
+"""Tests of the choice of a chain."""
 
 import random
 
@@ -31,7 +31,7 @@
     assert _names(stages) == ['x', 'y']
 
 
-def test_fewer_stages_are_better():
+def test_fewer_stages_are_preferred():
     holders = [
         build.holder('x', 0, 8),
         build.holder('y', 8, 16),
@@ -40,12 +40,12 @@
     assert _names(_choose(holders)) == ['whole']
 
 
-def test_no_chain_over_a_gap():
+def test_a_missing_layer_leaves_no_chain():
     holders = [build.holder('x', 0, 7), build.holder('y', 8, 16)]
     assert _choose(holders) is None
 
 
-def test_a_full_engine_is_passed_over():
+def test_a_full_engine_is_avoided():
     holders = [
         build.holder('full', 0, 16, used=0.99e6),
         build.holder('free', 0, 16),
@@ -53,16 +53,15 @@
     assert _names(_choose(holders)) == ['free']
 
 
-def test_a_request_too_large_for_the_room_gets_no_chain():
+def test_a_request_larger_than_the_capacity_gets_no_chain():
     assert _choose([build.holder('x', 0, 16)], tokens=1e6) is None
 
 
-def test_an_engine_with_room_for_two_pieces_only_does_not_end_the_search():
-    """Symptom: a request is refused although a chain has room.
+def test_a_path_that_uses_an_engine_twice_does_not_end_the_search():
+    """Failure: a request is refused although a chain has room.
 
-    Sequence: the fast engine is nearly full: it has room for 8 of its 16
-    layers; the path that uses it for 0 to 4 and 8 to 12 costs least.
-    Cause: that path was no chain, and no other was looked for.
+    The fast engine has room for only 8 of its 12 layers; the cheapest path
+    uses it for 0 to 4 and 8 to 12, which is not a valid chain.
     """
     holders = [
         build.holder('fast', 0, 12, capacity=10e3, used=1e3, step_factor=1.0),
@@ -75,12 +74,12 @@
     assert len(set(_names(stages))) == len(stages)
 
 
-def test_a_chain_stays_in_one_domain_while_one_is_whole():
-    """Symptom: after one loss all streams of a site stall for a second.
+def test_a_chain_stays_in_a_domain_that_holds_all_layers():
+    """Failure: after one loss all streams of a site stall for a second.
 
-    Sequence: a domain lost its first layers; its requests began in another
-    and came back for the rest, and so did those moved off the lost engine.
-    Cause: each prompt crossed the pipe between domains, which was full.
+    A domain loses its first layers.  If its requests begin in another
+    domain and return for the rest, as do those of the lost engine, their
+    prompts saturate the link between the domains.
     """
     holders = [
         build.holder('a2', 8, 16, 'a'),
@@ -90,7 +89,7 @@
     assert _names(_choose(holders, domain='a')) == ['b1', 'b2']
 
 
-def test_a_chain_crosses_when_no_domain_is_whole():
+def test_a_chain_crosses_if_no_domain_holds_all_layers():
     holders = [
         build.holder('a2', 8, 16, 'a'),
         build.holder('b1', 0, 8, 'b'),
@@ -99,40 +98,41 @@
     assert _choose(holders, domain='a', may_cross=False) is None
 
 
-def test_a_given_first_engine_is_kept():
+def test_the_first_stage_can_be_prescribed():
     holders = [build.holder('x', 0, 16), build.holder('y', 0, 16)]
-    for head in 'xy':
-        assert _names(_choose(holders, first_stages=[head])) == [head]
+    for name in 'xy':
+        assert _names(_choose(holders, first_stages=[name])) == [name]
 
 
-def test_a_part_of_the_layers_can_be_asked_for():
+def test_a_chain_can_cover_a_part_of_the_layers():
     holders = [build.holder('x', 0, 10), build.holder('y', 6, 16)]
     demand = build.demand(first=4, end=8)
     stages = chains.choose(holders, demand, 16, build.exactly())
     assert [(s.endpoint, s.first, s.end) for s in stages] == [('x', 4, 8)]
 
 
-def test_the_hint_bounds_what_is_reserved():
+def test_the_hint_limits_the_reserved_tokens():
     assert chains.tokens_needed(100, 100, 50) == 125
     assert chains.tokens_needed(100, 100, 500) == 150
     assert chains.tokens_needed(100, 100, 1) == 112.5
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_what_is_reserved_covers_what_many_requests_hold(seed):
-    """Load: 64 streams at random points of answers that hints miss by half.
+def test_reserved_tokens_match_the_tokens_of_many_requests(seed):
+    """Failure: engines run out of memory, or refuse requests that would fit.
 
-    Reserving whole answers refuses one request in eight that would fit;
-    reserving half of them leaves engines within 1.1 of what was booked, and
-    they are taken to be full at 0.95.
+    64 streams are at random points of responses that hints miss by up to
+    half.  Reserving whole responses refuses one request in eight that would
+    fit; reserving half keeps engines within 1.1 of the reserved memory, and
+    they count as full at 0.95.
     """
     rng = random.Random(seed)
     held = reserved = 0.0
     for _ in range(64):
         prompt = rng.randint(100, 2280)
-        answer = rng.randint(20, 600)
-        hint = int(answer * rng.uniform(0.5, 1.5))
-        held += prompt + answer * rng.random()
+        response = rng.randint(20, 600)
+        hint = int(response * rng.uniform(0.5, 1.5))
+        held += prompt + response * rng.random()
         reserved += chains.tokens_needed(prompt, 600, hint)
     assert 0.9 <= held / reserved <= 1.1
 
@@ -148,7 +148,7 @@
         max_size=12,
     )
 )
-def test_any_chain_found_is_whole_and_fits(ranges):
+def test_any_chain_found_is_complete_and_fits(ranges):
     holders = [
         build.holder(f'h{n}', first, min(12, first + size), domain, used=used)
         for n, (first, size, domain, used) in enumerate(ranges)
@@ -167,12 +167,13 @@
         )
 
 
-def test_four_fast_stages_are_better_than_two_slow_ones():
-    """Load: streams of 62 events on mixed cards; callers allow 0.2 s pauses.
+def test_four_fast_stages_are_preferred_to_two_slow_ones():
+    """Failure: streams run over few slow engines where faster ones are free.
 
-    A slow card takes 1.4 ms an event for a layer and a fast one 0.5 ms; one
-    more stage costs the time of some layers only.  With stages that cost as
-    much as ten slow layers, streams ran at 52 ms an event in place of 47.
+    A slow card takes 1.4 ms per event and layer, a fast one 0.5 ms, and one
+    more stage costs the time of a few layers only.  With a stage cost of ten
+    slow layers, streams of 62 events on mixed cards took 52 ms per event
+    instead of 47.
     """
     slow = [
         build.holder(f's{n}', n * 8, n * 8 + 8, step_factor=16.0)
@@ -186,10 +187,10 @@
 
 
 def test_half_full_engines_cost_no_more_than_idle_ones():
-    """Load: a failure domain at its usual number of streams.
+    """Failure: slow engines are used although fast ones have free memory.
 
-    Sharing requests out by memory long before it is short sends them over
-    slow engines for nothing.
+    Balancing by memory at the usual load, long before memory is short, only
+    moves requests to slower engines.
     """
     fast = build.holder('fast', 0, 16, used=0.45e6, step_factor=2.4)
     slow = build.holder('slow', 0, 16, step_factor=5.3)
