--- a/bench/burn.py
+++ b/bench/burn.py
@@ -61,10 +61,10 @@
     """Give what one process writes over a period, in bytes a second."""
     written = 0
     for seconds in range(KEEP_SECONDS, burnperiods.SECONDS + 1, KEEP_SECONDS):
-        book = burn.BurnBook()
+        book = burn.BurnCounter()
         fill(book, current, accounts, random.Random(1), seconds)
         period = BEGIN // burnperiods.SECONDS
-        written += len(msgspec.json.encode(book.of_period(period)))
+        written += len(msgspec.json.encode(book.minutes_of_period(period)))
     return written / burnperiods.SECONDS
 
 
@@ -72,7 +72,7 @@
     """Keep the parts of a period that is settled, and of the two since."""
     settled = BEGIN // burnperiods.SECONDS
     for process in range(processes):
-        book = burn.BurnBook()
+        book = burn.BurnCounter()
         fill(
             book,
             current,
@@ -81,7 +81,7 @@
             2.5 * burnperiods.SECONDS,
         )
         for period in range(settled, settled + 3):
-            minutes = msgspec.to_builtins(book.of_period(period))
+            minutes = msgspec.to_builtins(book.minutes_of_period(period))
             store.put(f'burn/{period}/{process}', minutes)
     clock.now = BEGIN + 2.5 * burnperiods.SECONDS
     return settled
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -125,7 +125,7 @@
     leaver.signal(number)
     took = wait_until(
         lambda: all(
-            row.holder not in (leaver.id, leases.NOBODY)
+            row.holder not in (leaver.id, leases.NO_HOLDER)
             for row in lease_rows(site)
         )
     )
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -237,7 +237,7 @@
         )
         now = number * DECISION_SECONDS
         dispatcher.offer(ticket, now)
-        dispatcher.finish(dispatch.Report(str(number), 0.1, 10), now)
+        dispatcher.finish(dispatch.AttemptReport(str(number), 0.1, 10), now)
     took = time.perf_counter() - started
     return {'engines': count, 'decisions_s': round(DECISIONS / took)}
 
--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -23,8 +23,8 @@
 import workloads
 
 TICK = 0.05
-DECREASE = loads.DECREASE
-SPARE_TIME = placing.SPARE_TIME
+LIMIT_DECREASE = loads.LIMIT_DECREASE
+SPARE_TIME_FACTOR = placing.SPARE_TIME_FACTOR
 # A deadline that no queue reaches.
 FAR = 1e9
 CONNECT_TIMEOUT = 0.5
@@ -50,9 +50,9 @@
 def set_policy(policy):
     """Take out of the dispatchers what a baseline does without."""
     kept = policy is Policy.FIXED_LIMIT
-    loads.DECREASE = 1.0 if kept else DECREASE
+    loads.LIMIT_DECREASE = 1.0 if kept else LIMIT_DECREASE
     fastest = policy is Policy.FIFO
-    placing.SPARE_TIME = math.inf if fastest else SPARE_TIME
+    placing.SPARE_TIME_FACTOR = math.inf if fastest else SPARE_TIME_FACTOR
 
 
 def make_dispatchers(current, seed):
@@ -181,8 +181,10 @@
         """Let routers tell each other what accounts ask for."""
         for teller, hearer in itertools.permutations(self.dispatchers, 2):
             demands = teller.limits.all_demands(now)
-            hearer.limits.hear(teller.router_id, demands)
-            hearer.shares.hear(teller.router_id, teller.shares.demands())
+            hearer.limits.receive_demands(teller.router_id, demands)
+            hearer.shares.receive_demands(
+                teller.router_id, teller.shares.demands()
+            )
         if now < self.seconds:
             self.at(now + PROBE_SECONDS, self.probe)
 
@@ -339,7 +341,7 @@
         self.free(names, now)
         self.end(request, now)
         if ticket_id:
-            report = dispatch.Report(ticket_id, seconds, request.tokens)
+            report = dispatch.AttemptReport(ticket_id, seconds, request.tokens)
             self.settle(
                 now, self.dispatchers[request.router].finish(report, now)
             )
@@ -349,7 +351,7 @@
             self.free(names, now)
         if ticket_id:
             seconds = request.pace * request.done
-            report = dispatch.Report(
+            report = dispatch.AttemptReport(
                 ticket_id, seconds, request.done, failure, culprit
             )
             request.tokens -= request.done
--- a/packages/policy/ibisring_policy/budgets.py
+++ b/packages/policy/ibisring_policy/budgets.py
@@ -17,8 +17,8 @@
     operator waits for.
     """
 
-    WAITED_FOR = 0.0
-    UPKEEP = 0.5
+    FOREGROUND = 0.0
+    BACKGROUND = 0.5
 
 
 class _Bucket:
--- a/packages/policy/ibisring_policy/burn.py
+++ b/packages/policy/ibisring_policy/burn.py
@@ -4,16 +4,16 @@
     'Group',
     'Tally',
     'Row',
-    'BurnBook',
+    'BurnCounter',
     'WINDOWS',
     'PERIOD_MINUTES',
-    'counts_against_us',
+    'counts_as_bad',
     'objective_for',
-    'members_of',
-    'wanted_seconds',
+    'group_members',
+    'tightest_bound_seconds',
     'burn_rows',
     'merge',
-    'for_plots',
+    'plotted_tallies',
 ]
 
 import collections
@@ -84,7 +84,7 @@
     burn: float | None
 
 
-def counts_against_us(error):
+def counts_as_bad(error):
     """Say whether a request that ended in an error is counted as bad."""
     return not isinstance(error, _CALLERS_DOING)
 
@@ -113,7 +113,7 @@
     return record.objective
 
 
-def members_of(service, priority, account):
+def group_members(service, priority, account):
     """Give the members of each group that a request is counted for."""
     return {
         Group.SERVICE: service,
@@ -122,7 +122,7 @@
     }
 
 
-def wanted_seconds(configuration, members):
+def tightest_bound_seconds(configuration, members):
     """Give the tightest bound of a request's objectives, in seconds.
 
     Parameters
@@ -141,20 +141,20 @@
     return f'{group.value}/{name}'
 
 
-class BurnBook:
+class BurnCounter:
     """Tallies of one process, by minute and group member.
 
     Attributes
     ----------
     minutes : dict of int to dict of str to Tally
         Unix minutes; tallies of several stand under the first.
-    unkept : set of int
+    unsaved_periods : set of int
         Periods with counts that were not kept yet.
     """
 
     def __init__(self):
         self.minutes = {}
-        self.unkept = set()
+        self.unsaved_periods = set()
 
     def count(self, configuration, members, seconds, answered, wall_time):
         """Count one request in each of its groups.
@@ -171,7 +171,7 @@
             Unix seconds.
         """
         now = int(wall_time // MINUTE)
-        self.unkept.add(now // PERIOD_MINUTES)
+        self.unsaved_periods.add(now // PERIOD_MINUTES)
         for group, name in members.items():
             minute = now - now % RESOLUTION[group]
             tallies = self.minutes.setdefault(minute, {})
@@ -183,7 +183,7 @@
         while len(self.minutes) > MINUTES_KEPT:
             del self.minutes[min(self.minutes)]
 
-    def of_period(self, period):
+    def minutes_of_period(self, period):
         """Give the minutes of a period, to be kept as one object."""
         return {
             str(minute): tallies
@@ -250,7 +250,7 @@
     return rows
 
 
-def for_plots(minutes, wall_time):
+def plotted_tallies(minutes, wall_time):
     """Give the last hour, with only those accounts that fared worst.
 
     Parameters
--- a/packages/policy/ibisring_policy/claims.py
+++ b/packages/policy/ibisring_policy/claims.py
@@ -12,10 +12,10 @@
     'TableAnswer',
     'Verdict',
     'Decision',
-    'ClaimBook',
+    'ClaimVoter',
     'decide',
     'voters',
-    'make_book',
+    'make_voter',
 ]
 
 import collections
@@ -145,7 +145,7 @@
     return Decision(Verdict.UNAVAILABLE)
 
 
-class ClaimBook:
+class ClaimVoter:
     """The claims that one voter remembers.
 
     Parameters
@@ -185,6 +185,6 @@
             del self.claims[key]
 
 
-def make_book(window, started_at):
+def make_voter(window, started_at):
     """Make the claim book of a voter."""
-    return ClaimBook(window, started_at)
+    return ClaimVoter(window, started_at)
--- a/packages/policy/ibisring_policy/dispatch.py
+++ b/packages/policy/ibisring_policy/dispatch.py
@@ -8,7 +8,7 @@
 __all__ = [
     'Grant',
     'Refusal',
-    'Report',
+    'AttemptReport',
     'Dispatcher',
     'make_dispatcher',
 ]
@@ -50,17 +50,18 @@
     error: exceptions.IbisringError
 
 
-class Report(msgspec.Struct):
+class AttemptReport(msgspec.Struct):
     """How an attempt went.
 
-    `failure` is None if it went well; `culprit` is the endpoint at fault.
+    `failure` is None if it went well; `failed_endpoint` is the endpoint at
+    fault.
     """
 
     ticket_id: str
     seconds: float = 0.0
     tokens: int = 0
     failure: retries.Failure | None = None
-    culprit: str = ''
+    failed_endpoint: str = ''
 
 
 class _Running(msgspec.Struct):
@@ -244,7 +245,7 @@
             state.measured = True
 
     def _blame(self, report, now):
-        state = self.states.get(report.culprit)
+        state = self.states.get(report.failed_endpoint)
         if state is None or report.failure is retries.Failure.GONE:
             return
         if report.failure is retries.Failure.REFUSED:
--- a/packages/policy/ibisring_policy/leases.py
+++ b/packages/policy/ibisring_policy/leases.py
@@ -16,7 +16,7 @@
 MARGIN = 0.2
 RENEW_PART = 1.0 / 3.0
 CONTENDERS = 2
-NOBODY = ''
+NO_HOLDER = ''
 
 
 class LeaseRow(msgspec.Struct):
@@ -125,7 +125,7 @@
             return Intent.RENEW if due else Intent.WAIT
         if not is_contender:
             return Intent.WAIT
-        if self.row is None or self.row.holder == NOBODY:
+        if self.row is None or self.row.holder == NO_HOLDER:
             return Intent.ACQUIRE
         # A row under the own id that is not held now is a former process's
         # or a lapsed one, and is waited out like another's.
@@ -187,5 +187,5 @@
         """
         self.held_until = -math.inf
         return LeaseRow(
-            NOBODY, self.row.fencing, self.seconds, self.row.count + 1
+            NO_HOLDER, self.row.fencing, self.seconds, self.row.count + 1
         )
--- a/packages/policy/ibisring_policy/limits.py
+++ b/packages/policy/ibisring_policy/limits.py
@@ -109,7 +109,7 @@
         gained = cost / DEMAND_HALF_LIFE
         self.demands[account] = (self.demand(account, now) + gained, now)
 
-    def hear(self, peer, demands):
+    def receive_demands(self, peer, demands):
         """Take in the demands that a peer tells of."""
         self.peers[peer] = demands
 
--- a/packages/policy/ibisring_policy/loads.py
+++ b/packages/policy/ibisring_policy/loads.py
@@ -6,7 +6,7 @@
 
 REPORT_HALF_LIFE = 4.0
 DEFAULT_TOKEN_SECONDS = 0.02
-DECREASE = 0.7
+LIMIT_DECREASE = 0.7
 EJECT_AFTER = 3
 EJECT_SECONDS = 2.0
 EJECT_CAP = 30.0
@@ -129,7 +129,7 @@
         part may be far below the limit, which would hide many cuts.
         """
         held = min(self.limit, self.own + 1)
-        self.limit = max(1.0, held * DECREASE)
+        self.limit = max(1.0, held * LIMIT_DECREASE)
         self.failed(now, severe=False)
 
     def failed(self, now, severe):
--- a/packages/policy/ibisring_policy/membership.py
+++ b/packages/policy/ibisring_policy/membership.py
@@ -100,7 +100,7 @@
         self.peers = {}
         self.known = False
 
-    def listed(self, vms):
+    def apply_vm_list(self, vms):
         """Take in a VM list.
 
         Parameters
@@ -130,7 +130,7 @@
             peers[name] = known
         self.peers = peers
 
-    def answered(self, name, answer, now):
+    def record_answer(self, name, answer, now):
         """Take in a probe's answer.
 
         Parameters
@@ -160,7 +160,7 @@
         peer.leaving = answer.leaving
         return self._set_health(peer, Health.ALIVE)
 
-    def missed(self, name):
+    def record_miss(self, name):
         """Take in that a probe went unanswered; True if health changed."""
         peer = self.peers.get(name)
         if peer is None:
@@ -185,21 +185,21 @@
             return None
         return {vm.id: vm.address for vm in self.members.values()}
 
-    def alive(self):
+    def alive_peers(self):
         """Give the peers that answer."""
         return [p for p in self.peers.values() if p.health is Health.ALIVE]
 
-    def not_dead(self):
+    def peers_not_dead(self):
         """Give the peers that are worth telling something."""
         return [p for p in self.peers.values() if p.health is not Health.DEAD]
 
-    def takers(self):
+    def serving_routers(self):
         """Give the ids of the routers that take callers, this one included.
 
         Members that aren't probed from here count as alive.
         """
         unprobed = set(self.members) - set(self.peers)
-        taking = [p.id for p in self.alive() if not p.leaving]
+        taking = [p.id for p in self.alive_peers() if not p.leaving]
         return [self.own_id, *sorted(unprobed), *taking]
 
 
--- a/packages/policy/ibisring_policy/orders.py
+++ b/packages/policy/ibisring_policy/orders.py
@@ -1,18 +1,24 @@
 """Orders that bring an engine from what it reports to what is wanted."""
 
-__all__ = ['Wanted', 'wanted_order', 'may_send', 'IdleClock', 'WeightBudget']
+__all__ = [
+    'OrderSpec',
+    'next_order',
+    'may_send',
+    'IdleTracker',
+    'WeightFetchBudget',
+]
 
 from ibisring_records import schemas
 import msgspec
 
 # No order is in flight for longer; the callers' timeout ensures it.
-ORDER_SECONDS = 2.0
+ORDER_TIMEOUT_SECONDS = 2.0
 # A router that has not yet heard that an endpoint leaves may send work for
 # 3 s; one attempt more may be on its way by then.
 UNLOAD_AFTER_SECONDS = 5.0
 
 
-class Wanted(msgspec.Struct):
+class OrderSpec(msgspec.Struct):
     """An order to give, before it gets its id and fencing number."""
 
     kind: schemas.OrderKind
@@ -26,7 +32,7 @@
     role: str = schemas.Role.ACTIVE
 
 
-def wanted_order(endpoint, status, configuration, idle=0.0):
+def next_order(endpoint, status, configuration, idle=0.0):
     """Give the next order for an engine, or None if all is as wanted.
 
     Parameters
@@ -39,7 +45,7 @@
 
     Returns
     -------
-    Wanted or None
+    OrderSpec or None
 
     Notes
     -----
@@ -100,7 +106,7 @@
 
 
 def _wanted(kind, spec, version, adapters, megabytes):
-    return Wanted(
+    return OrderSpec(
         kind,
         spec.model,
         spec.version,
@@ -132,7 +138,7 @@
         return False
     if endpoint.spec.checks_fencing:
         return True
-    return now - lease.acquired_at >= ORDER_SECONDS
+    return now - lease.acquired_at >= ORDER_TIMEOUT_SECONDS
 
 
 class _Idle(msgspec.Struct):
@@ -142,7 +148,7 @@
     last: float
 
 
-class IdleClock:
+class IdleTracker:
     """Tells how long endpoints have been seen leaving and without work."""
 
     def __init__(self):
@@ -178,7 +184,7 @@
         return seen.last - seen.since
 
 
-class WeightBudget:
+class WeightFetchBudget:
     """Keeps one share's loads within its part of the weight store's rate.
 
     Parameters
--- a/packages/policy/ibisring_policy/placing.py
+++ b/packages/policy/ibisring_policy/placing.py
@@ -18,7 +18,7 @@
 MOST_RESERVED = 0.9
 PARTS_SECONDS = 0.25
 # A request goes to a slow chain only if it could take so much longer there.
-SPARE_TIME = 1.5
+SPARE_TIME_FACTOR = 1.5
 # Nor if it is slower by more than this: accelerators differ so much, but a
 # degraded link differs by far more, and deadlines are often generous.
 MOST_SLOWDOWN = 3.0
@@ -311,7 +311,7 @@
 def _slowest_pace(ticket, now):
     """Give the most seconds a token that leave a ticket time to spare."""
     end = min(ticket.deadline, ticket.wanted_by)
-    return (end - now) / max(1.0, ticket.cost) / SPARE_TIME
+    return (end - now) / max(1.0, ticket.cost) / SPARE_TIME_FACTOR
 
 
 def _layers_of(endpoint):
--- a/packages/policy/ibisring_policy/retries.py
+++ b/packages/policy/ibisring_policy/retries.py
@@ -2,7 +2,7 @@
 
 __all__ = [
     'Failure',
-    'CERTAIN',
+    'NOT_RUN_FAILURES',
     'Action',
     'Situation',
     'decide',
@@ -18,7 +18,7 @@
 from ibisring_records import exceptions
 import msgspec
 
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 MOST_RESUMES = 2
 BUDGET_SHARE = 0.2
 BUDGET_RESERVE = 10.0
@@ -66,12 +66,12 @@
     resumes: int
     now: float
     deadline: float
-    most_attempts: int = MOST_ATTEMPTS
+    most_attempts: int = MAX_ATTEMPTS
     delivering: bool = False
 
 
 # After these an attempt certainly ran nothing.
-CERTAIN = (Failure.NOT_SENT, Failure.REFUSED)
+NOT_RUN_FAILURES = (Failure.NOT_SENT, Failure.REFUSED)
 _CONNECTION = (Failure.CUT, Failure.SILENT)
 
 
@@ -116,7 +116,7 @@
         return Action.RESUME
     if situation.attempts >= situation.most_attempts:
         return Action.GIVE_UP
-    certain = situation.failure in CERTAIN and not situation.began
+    certain = situation.failure in NOT_RUN_FAILURES and not situation.began
     if not situation.idempotent and not certain:
         return Action.GIVE_UP
     if situation.delivering or budget.spend():
@@ -149,7 +149,7 @@
     >>> outcome_of(Failure.REFUSED, began=True).value
     'unknown'
     """
-    if failure in CERTAIN and not began:
+    if failure in NOT_RUN_FAILURES and not began:
         return exceptions.Outcome.NOT_RUN
     if failure is Failure.FAILED:
         return exceptions.Outcome.FAILED
--- a/packages/policy/ibisring_policy/revisions.py
+++ b/packages/policy/ibisring_policy/revisions.py
@@ -1,6 +1,6 @@
 """The records in force on one router: forward only, without gaps."""
 
-__all__ = ['RecordsInForce', 'Step', 'make_records']
+__all__ = ['ActiveRecords', 'ApplyResult', 'make_records']
 
 import enum
 
@@ -9,7 +9,7 @@
 RECENT_CHANGES = 500
 
 
-class Step(enum.StrEnum):
+class ApplyResult(enum.StrEnum):
     """What became of a change that was offered."""
 
     APPLIED = 'applied'
@@ -17,7 +17,7 @@
     GAP = 'gap'
 
 
-class RecordsInForce:
+class ActiveRecords:
     """Applies changes and snapshots, never to a lower revision.
 
     Attributes
@@ -39,7 +39,7 @@
         self.stored = {}
         self.recent = {}
 
-    def offer_change(self, change):
+    def apply_change(self, change):
         """Apply a change if it is the next one.
 
         Parameters
@@ -48,20 +48,20 @@
 
         Returns
         -------
-        Step
+        ApplyResult
         """
         if change.revision <= self.revision:
-            return Step.OLD
+            return ApplyResult.OLD
         if change.revision != self.revision + 1:
-            return Step.GAP
+            return ApplyResult.GAP
         for record in change.records:
             self.stored[record.kind, record.name] = record
         self.revision = change.revision
         self.recent[change.revision] = change
         self.recent.pop(change.revision - RECENT_CHANGES, None)
-        return Step.APPLIED
+        return ApplyResult.APPLIED
 
-    def offer_snapshot(self, revision, stored):
+    def apply_snapshot(self, revision, stored):
         """Take a whole snapshot if it is newer.
 
         Parameters
@@ -71,14 +71,14 @@
 
         Returns
         -------
-        Step
+        ApplyResult
         """
         if revision <= self.revision:
-            return Step.OLD
+            return ApplyResult.OLD
         self.stored = {(r.kind, r.name): r for r in stored}
         self.revision = revision
         self.recent.clear()
-        return Step.APPLIED
+        return ApplyResult.APPLIED
 
     def changes_since(self, revision):
         """Give the changes after a revision, or None if not all are here."""
@@ -94,4 +94,4 @@
 
 def make_records():
     """Make records of a router that has none yet."""
-    return RecordsInForce()
+    return ActiveRecords()
--- a/packages/policy/ibisring_policy/shares.py
+++ b/packages/policy/ibisring_policy/shares.py
@@ -154,7 +154,7 @@
             if name in self.routers
         }
 
-    def hear(self, router, demands):
+    def receive_demands(self, router, demands):
         """Take in what a peer has in hand.
 
         Parameters
@@ -201,7 +201,7 @@
         of_ranges = {
             kind: parts_of_range(slots, pool, weights, self.own_id)
             for kind, slots in alike.items()
-            if len(slots) <= subsets.SUBSET
+            if len(slots) <= subsets.SUBSET_SIZE
         }
         found = {}
         for endpoint in endpoints:
@@ -219,7 +219,7 @@
         Nobody knows all of them, so it is rounded by hash.
         """
         slots = endpoint.spec.slots
-        quota = slots * weights[self.own_id] * size / subsets.SUBSET
+        quota = slots * weights[self.own_id] * size / subsets.SUBSET_SIZE
         begin = _hash(endpoint.name, self.own_id) / HASH_RANGE
         return _whole(begin + quota) - _whole(begin)
 
--- a/packages/policy/ibisring_policy/subsets.py
+++ b/packages/policy/ibisring_policy/subsets.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-SUBSET = 16
+SUBSET_SIZE = 16
 
 
 def _rank(router_id, name):
@@ -29,7 +29,7 @@
     )
 
 
-def choose_subset(router_id, endpoints, size=SUBSET):
+def choose_subset(router_id, endpoints, size=SUBSET_SIZE):
     """Choose at most so many endpoints of each kind for a router.
 
     Parameters
--- a/packages/policy/ibisring_policy/tests/test_budgets.py
+++ b/packages/policy/ibisring_policy/tests/test_budgets.py
@@ -7,8 +7,8 @@
 from ibisring_policy import budgets
 
 TOTAL = 20
-UPKEEP = budgets.Urgency.UPKEEP
-WAITED_FOR = budgets.Urgency.WAITED_FOR
+BACKGROUND = budgets.Urgency.BACKGROUND
+FOREGROUND = budgets.Urgency.FOREGROUND
 
 
 def fleet(routers):
@@ -52,21 +52,21 @@
 
 def test_polls_leave_half_to_what_a_caller_waits_for():
     budget = budgets.make_budget(TOTAL, TOTAL, 0.0)
-    polls = [budget.may_read(UPKEEP, 1, 0.0) for _ in range(TOTAL)]
+    polls = [budget.may_read(BACKGROUND, 1, 0.0) for _ in range(TOTAL)]
     assert sum(polls) == TOTAL / 2 + 1
-    assert budget.may_read(WAITED_FOR, 1, 0.0)
-    assert not budget.may_read(UPKEEP, 1, 0.0)
+    assert budget.may_read(FOREGROUND, 1, 0.0)
+    assert not budget.may_read(BACKGROUND, 1, 0.0)
 
 
 def test_reads_and_writes_are_counted_apart():
     budget = budgets.make_budget(1, 1, 0.0)
-    assert budget.may_read(WAITED_FOR, 1, 0.0)
-    assert budget.may_write(WAITED_FOR, 1, 0.0)
-    assert not budget.may_write(WAITED_FOR, 1, 0.0)
-    assert budget.may_write(WAITED_FOR, 1, 1.0)
+    assert budget.may_read(FOREGROUND, 1, 0.0)
+    assert budget.may_write(FOREGROUND, 1, 0.0)
+    assert not budget.may_write(FOREGROUND, 1, 0.0)
+    assert budget.may_write(FOREGROUND, 1, 1.0)
 
 
 def test_router_that_never_read_the_list_takes_a_small_part():
     budget = budgets.make_budget(1000, 1000, 0.0)
-    taken = [budget.may_write(WAITED_FOR, 0, 0.0) for _ in range(50)]
+    taken = [budget.may_write(FOREGROUND, 0, 0.0) for _ in range(50)]
     assert sum(taken) == 1000 / budgets.ROUTERS_IF_UNKNOWN
--- a/packages/policy/ibisring_policy/tests/test_burn.py
+++ b/packages/policy/ibisring_policy/tests/test_burn.py
@@ -24,7 +24,7 @@
 
 
 def test_burn_is_the_share_of_the_budget_spent():
-    book = burn.BurnBook()
+    book = burn.BurnCounter()
     members = {burn.Group.SERVICE: 'm'}
     for seconds, answered in ((0.1, True), (0.6, True), (0.1, False)):
         book.count(in_force(), members, seconds, answered, NOW)
@@ -38,7 +38,7 @@
 
 
 def test_processes_are_added_up():
-    books = [burn.BurnBook(), burn.BurnBook()]
+    books = [burn.BurnCounter(), burn.BurnCounter()]
     for book in books:
         book.count(in_force(), {burn.Group.CLASS: 'x'}, 0.1, True, NOW)
     merged = burn.merge(book.minutes for book in books)
@@ -46,14 +46,14 @@
 
 
 def test_callers_own_mistakes_burn_nothing():
-    assert not burn.counts_against_us(exceptions.InvalidRequest('x'))
-    assert not burn.counts_against_us(exceptions.AccountLimited('x'))
-    assert burn.counts_against_us(exceptions.Overloaded('x'))
-    assert burn.counts_against_us(exceptions.OutcomeUnknown('x'))
+    assert not burn.counts_as_bad(exceptions.InvalidRequest('x'))
+    assert not burn.counts_as_bad(exceptions.AccountLimited('x'))
+    assert burn.counts_as_bad(exceptions.Overloaded('x'))
+    assert burn.counts_as_bad(exceptions.OutcomeUnknown('x'))
 
 
 def test_accounts_are_counted_by_five_minutes_and_lose_nothing():
-    book = burn.BurnBook()
+    book = burn.BurnCounter()
     members = {burn.Group.ACCOUNT: 'a', burn.Group.CLASS: 'x'}
     times = [NOW - 60.0 * minute for minute in range(10)]
     for time in times:
@@ -68,18 +68,18 @@
 
 
 def test_plots_show_the_accounts_that_fared_worst():
-    book = burn.BurnBook()
+    book = burn.BurnCounter()
     for number in range(30):
         for _ in range(number + 1):
             members = {burn.Group.ACCOUNT: str(number)}
             book.count(in_force(), members, 0.1, False, NOW)
-    (tallies,) = burn.for_plots(book.minutes, NOW).values()
+    (tallies,) = burn.plotted_tallies(book.minutes, NOW).values()
     assert set(tallies) == {f'account/{n}' for n in range(20, 30)}
 
 
 def test_tightest_objective_says_when_an_answer_is_wanted():
-    members = burn.members_of('m', '', 'a')
-    assert burn.wanted_seconds(in_force(), members) == 0.5
-    others = burn.members_of('other', 'none', 'a')
+    members = burn.group_members('m', '', 'a')
+    assert burn.tightest_bound_seconds(in_force(), members) == 0.5
+    others = burn.group_members('other', 'none', 'a')
     default = burn.DEFAULT_OBJECTIVE.bound_ms / 1000.0
-    assert burn.wanted_seconds(in_force(), others) == default
+    assert burn.tightest_bound_seconds(in_force(), others) == default
--- a/packages/policy/ibisring_policy/tests/test_claims.py
+++ b/packages/policy/ibisring_policy/tests/test_claims.py
@@ -58,7 +58,7 @@
 
 
 def test_book_forgets_after_the_window_only():
-    book = claims.make_book(WINDOW, 0.0)
+    book = claims.make_voter(WINDOW, 0.0)
     first, second = claim('a'), claim('b')
     assert book.vote(first, 1.0).held == first
     assert book.vote(second, WINDOW).held == first
@@ -66,7 +66,7 @@
 
 
 def test_release_frees_the_key_for_its_own_claim_only():
-    book = claims.make_book(WINDOW, 0.0)
+    book = claims.make_voter(WINDOW, 0.0)
     book.vote(claim('a'), 1.0)
     book.release('k', 'b')
     assert book.vote(claim('b'), 2.0).held.id == 'a'
@@ -80,7 +80,7 @@
 @given(strategies.lists(reachable, min_size=2, max_size=5))
 def test_two_copies_never_both_run_in_an_outage(reached):
     """Copies of one alert at several routers, each reaching some voters."""
-    books = {n: claims.make_book(WINDOW, -WINDOW) for n in ALL}
+    books = {n: claims.make_voter(WINDOW, -WINDOW) for n in ALL}
     ran = 0
     for number, voters in zip(itertools.count(), reached):
         mine = claim(str(number))
--- a/packages/policy/ibisring_policy/tests/test_dispatch.py
+++ b/packages/policy/ibisring_policy/tests/test_dispatch.py
@@ -31,7 +31,7 @@
 
 def finish(dispatcher, name, now=1.0, **report):
     report = {'seconds': 1.0, 'tokens': 10, **report}
-    return dispatcher.finish(dispatch.Report(name, **report), now)
+    return dispatcher.finish(dispatch.AttemptReport(name, **report), now)
 
 
 def test_grant_is_a_complete_chain():
@@ -241,7 +241,13 @@
         if grant.endpoints[0].name == 'e0-0':
             failure = retries.Failure.REFUSED
             refused += 1
-        finish(dispatcher, str(number), 0.1, failure=failure, culprit='e0-0')
+        finish(
+            dispatcher,
+            str(number),
+            0.1,
+            failure=failure,
+            failed_endpoint='e0-0',
+        )
     assert refused == loads.EJECT_AFTER
 
 
@@ -335,7 +341,7 @@
             running.discard(name)
             failure = retries.Failure.CUT if kind == 'fail' else None
             results = finish(
-                dispatcher, name, now, failure=failure, culprit='e0-0'
+                dispatcher, name, now, failure=failure, failed_endpoint='e0-0'
             )
         for result in results:
             waiting.discard(result.ticket.id)
@@ -368,9 +374,11 @@
     return tuple(endpoint.name for endpoint in grants[0].endpoints)
 
 
-def lost(ticket, culprit):
-    return dispatch.Report(
-        ticket, failure=retries.Failure.STAGE_LOST, culprit=culprit
+def lost(ticket, failed_endpoint):
+    return dispatch.AttemptReport(
+        ticket,
+        failure=retries.Failure.STAGE_LOST,
+        failed_endpoint=failed_endpoint,
     )
 
 
--- a/packages/policy/ibisring_policy/tests/test_orders.py
+++ b/packages/policy/ibisring_policy/tests/test_orders.py
@@ -62,8 +62,8 @@
     busy = status('m@1', running=1)
     idle = status('m@1')
     current = in_force(wanted)
-    assert orders.wanted_order(wanted, busy, current) is None
-    order = orders.wanted_order(wanted, idle, current)
+    assert orders.next_order(wanted, busy, current) is None
+    order = orders.next_order(wanted, idle, current)
     assert (order.kind, order.version) == (schemas.OrderKind.LOAD, 'm@2')
     assert order.megabytes == 40.0
 
@@ -72,7 +72,7 @@
     wanted = endpoint(adapters=('x',))
     current = in_force(wanted, adapters=['x', 'y'])
     held = status(adapters=['y', 'z'])
-    order = orders.wanted_order(wanted, held, current)
+    order = orders.next_order(wanted, held, current)
     assert order.adapters == ['x', 'y']
 
 
@@ -94,7 +94,7 @@
 
 
 def test_loads_keep_to_the_share_of_the_weight_rate():
-    budget = orders.WeightBudget(shares=4)
+    budget = orders.WeightFetchBudget(shares=4)
     assert budget.take(0, 100.0, 100.0, 0.0)
     assert not budget.take(0, 100.0, 100.0, 3.9)
     assert budget.take(1, 100.0, 100.0, 3.9)
@@ -115,19 +115,19 @@
     """
     wanted = endpoint(state=LEAVING, checks_fencing=True)
     current = in_force(wanted)
-    clock = orders.IdleClock()
+    clock = orders.IdleTracker()
     enough = orders.UNLOAD_AFTER_SECONDS
     early = idle_at(clock, wanted, status, 10.0, 10.0 + enough - 0.1)
-    assert orders.wanted_order(wanted, status(), current, early) is None
+    assert orders.next_order(wanted, status(), current, early) is None
     # The late request arrives: the time starts anew.
     clock.observe(wanted, status(running=1), 16.0)
     again = idle_at(clock, wanted, status, 17.0, 17.0 + enough - 0.1)
-    assert orders.wanted_order(wanted, status(), current, again) is None
+    assert orders.next_order(wanted, status(), current, again) is None
     late = idle_at(clock, wanted, status, 17.0 + enough)
-    order = orders.wanted_order(wanted, status(), current, late)
+    order = orders.next_order(wanted, status(), current, late)
     assert order.kind is schemas.OrderKind.UNLOAD
     empty = status(loaded=False)
-    assert orders.wanted_order(wanted, empty, current, late) is None
+    assert orders.next_order(wanted, empty, current, late) is None
 
 
 def test_engine_that_ignores_fencing_is_never_unloaded():
@@ -139,9 +139,7 @@
     """
     wanted = endpoint(state=LEAVING)
     long = 10 * orders.UNLOAD_AFTER_SECONDS
-    assert (
-        orders.wanted_order(wanted, status(), in_force(wanted), long) is None
-    )
+    assert orders.next_order(wanted, status(), in_force(wanted), long) is None
 
 
 def test_engine_that_cannot_be_read_is_not_idle():
@@ -151,13 +149,13 @@
     Cause: the old reading was counted as if it went on.
     """
     wanted = endpoint(state=LEAVING)
-    clock = orders.IdleClock()
+    clock = orders.IdleTracker()
     last = status()
     assert idle_at(clock, wanted, lambda: last, 0.0, 60.0, 120.0) == 0.0
 
 
 def test_endpoint_that_serves_again_is_not_unloaded():
-    clock = orders.IdleClock()
+    clock = orders.IdleTracker()
     idle_at(clock, endpoint(state=LEAVING), status, 0.0, 60.0)
     assert clock.observe(endpoint(), status(), 61.0) == 0.0
     assert clock.observe(endpoint(state=LEAVING), status(), 62.0) == 0.0
@@ -167,9 +165,9 @@
     wanted = endpoint(role=STANDBY)
     current = in_force(wanted)
     held = status()
-    assert orders.wanted_order(wanted, held, current) is None
+    assert orders.next_order(wanted, held, current) is None
     held.role = 'active'
-    order = orders.wanted_order(wanted, held, current)
+    order = orders.next_order(wanted, held, current)
     assert (order.kind, order.role) == (schemas.OrderKind.ROLE, 'standby')
     held.role = order.role
-    assert orders.wanted_order(wanted, held, current) is None
+    assert orders.next_order(wanted, held, current) is None
--- a/packages/policy/ibisring_policy/tests/test_retries.py
+++ b/packages/policy/ibisring_policy/tests/test_retries.py
@@ -47,10 +47,10 @@
     action = retries.decide(drawn, budget)
     if drawn.now >= drawn.deadline:
         assert action is GIVE_UP
-    certain = drawn.failure in retries.CERTAIN and not drawn.began
+    certain = drawn.failure in retries.NOT_RUN_FAILURES and not drawn.began
     if action is NEW_ATTEMPT:
         assert drawn.idempotent or certain
-        assert drawn.attempts < retries.MOST_ATTEMPTS
+        assert drawn.attempts < retries.MAX_ATTEMPTS
         assert drawn.delivering or not is_spent
     if action is RESUME:
         assert drawn.resumable
--- a/packages/policy/ibisring_policy/tests/test_shares.py
+++ b/packages/policy/ibisring_policy/tests/test_shares.py
@@ -22,7 +22,7 @@
         hearer.set_routers(names)
         for name in names:
             if name != hearer.own_id:
-                hearer.hear(name, made[name].demands())
+                hearer.receive_demands(name, made[name].demands())
     return made
 
 
@@ -101,7 +101,7 @@
     router = shares.make_shares('r0')
     router.set_routers(['r0', 'r1', 'r2'])
     router.observe(POOL, 30, 0.0)
-    router.hear('r1', {POOL: 10.0})
+    router.receive_demands('r1', {POOL: 10.0})
     weights = router.weights(POOL)
     assert abs(sum(weights.values()) - 1.0) < 1e-9
     assert weights['r1'] < weights['r2'] < weights['r0']
--- a/packages/router/ibisring_router/burnkeeping.py
+++ b/packages/router/ibisring_router/burnkeeping.py
@@ -48,7 +48,7 @@
         self.wall_clock = wall_clock
         self.instance = uuid.uuid4().hex
         self.lock = threading.Lock()
-        self.book = burn.BurnBook()
+        self.book = burn.BurnCounter()
         self.failed_at = -math.inf
 
     def count(self, service, terms, seconds, error):
@@ -63,9 +63,9 @@
         error : Exception or None
         """
         configuration = self.keeper.current
-        if error is not None and not burn.counts_against_us(error):
+        if error is not None and not burn.counts_as_bad(error):
             return
-        members = burn.members_of(service, terms.priority, terms.account)
+        members = burn.group_members(service, terms.priority, terms.account)
         with self.lock:
             self.book.count(
                 configuration,
@@ -83,10 +83,12 @@
         """
         with self.lock:
             encoded = {
-                period: msgspec.to_builtins(self.book.of_period(period))
-                for period in sorted(self.book.unkept)
+                period: msgspec.to_builtins(
+                    self.book.minutes_of_period(period)
+                )
+                for period in sorted(self.book.unsaved_periods)
             }
-            self.book.unkept.clear()
+            self.book.unsaved_periods.clear()
         for period, minutes in encoded.items():
             self._keep_period(period, minutes)
 
@@ -98,7 +100,7 @@
             self.metrics.count('burn.keep_failed')
             if minutes:
                 with self.lock:
-                    self.book.unkept.add(period)
+                    self.book.unsaved_periods.add(period)
             return
         if burnperiods.is_settled(period, self.wall_clock()):
             self.metrics.count('burn.kept_late')
@@ -128,7 +130,7 @@
                 break
         minutes = burn.merge(parts)
         rows = burn.burn_rows(self.keeper.require(), minutes, now)
-        return BurnReport(rows, burn.for_plots(minutes, now), unreached)
+        return BurnReport(rows, burn.plotted_tallies(minutes, now), unreached)
 
     def _read_period(self, period, now):
         """Read a period; what this process counted needs no reading."""
@@ -136,7 +138,7 @@
             return self.periods.read(period, now)
         found = self.periods.read(period, now, but=self.instance)
         with self.lock:
-            own = msgspec.to_builtins(self.book.of_period(period))
+            own = msgspec.to_builtins(self.book.minutes_of_period(period))
         found.parts.append(msgspec.convert(own, burnperiods.Minutes))
         return found
 
--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -110,8 +110,8 @@
         terms = requests.read_terms(
             request.headers, configuration, account, False, now
         )
-        members = burn.members_of(target.model, terms.priority, account)
-        wanted = burn.wanted_seconds(configuration, members)
+        members = burn.group_members(target.model, terms.priority, account)
+        wanted = burn.tightest_bound_seconds(configuration, members)
         generation = generating.Generation(
             requests.new_request_id(),
             account,
--- a/packages/router/ibisring_router/calling.py
+++ b/packages/router/ibisring_router/calling.py
@@ -92,7 +92,7 @@
                 body = self._attempt(request, attempt, endpoint)
                 return ServiceAnswer(body, attempt)
             except endings.AttemptFailed as failed:
-                began = began or failed.failure not in retries.CERTAIN
+                began = began or failed.failure not in retries.NOT_RUN_FAILURES
                 avoid.add(endpoint.name)
                 self._after_failure(request, attempt, began, failed)
 
@@ -119,8 +119,8 @@
 
     def _attempt(self, request, attempt, endpoint):
         started = self.clock()
-        report = dispatch.Report(f'{request.id}/{attempt}', tokens=1)
-        report.culprit = endpoint.name
+        report = dispatch.AttemptReport(f'{request.id}/{attempt}', tokens=1)
+        report.failed_endpoint = endpoint.name
         report.failure = retries.Failure.CUT
         try:
             body = self._send(request, attempt, endpoint)
--- a/packages/router/ibisring_router/claiming.py
+++ b/packages/router/ibisring_router/claiming.py
@@ -85,7 +85,7 @@
     def __init__(self, window, clock):
         super().__init__()
         self.clock = clock
-        self.book = claims_module.make_book(window, clock())
+        self.book = claims_module.make_voter(window, clock())
 
     def handlers(self):
         return {
--- a/packages/router/ibisring_router/dispatching.py
+++ b/packages/router/ibisring_router/dispatching.py
@@ -37,7 +37,7 @@
 
 
 class Finish(msgspec.Struct):
-    report: dispatch.Report
+    report: dispatch.AttemptReport
 
 
 class Cancel(msgspec.Struct):
--- a/packages/router/ibisring_router/generating.py
+++ b/packages/router/ibisring_router/generating.py
@@ -91,7 +91,7 @@
         self.clock = clock
         self.sleep = sleep
         self.rng = rng
-        self.most_attempts = retries.MOST_ATTEMPTS
+        self.most_attempts = retries.MAX_ATTEMPTS
         self.budget = retries.make_budget()
 
     def run(self, request, is_gone):
@@ -213,7 +213,9 @@
         """
         started = self.clock()
         before = len(progress.assembler.tokens)
-        report = dispatch.Report(f'{progress.request.id}/{progress.attempts}')
+        report = dispatch.AttemptReport(
+            f'{progress.request.id}/{progress.attempts}'
+        )
         report.failure = retries.Failure.GONE
         try:
             finish = yield from self._with_resumes(progress)
@@ -221,7 +223,7 @@
             return finish
         except endings.AttemptFailed as failed:
             report.failure = failed.failure
-            report.culprit = failed.culprit
+            report.failed_endpoint = failed.culprit
             raise
         finally:
             report.seconds = self.clock() - started
@@ -311,7 +313,7 @@
         return endings.AttemptFailed(failure, event.detail, event.endpoint)
 
     def _decide(self, progress, failure):
-        if failure not in retries.CERTAIN:
+        if failure not in retries.NOT_RUN_FAILURES:
             progress.began = True
         elif progress.resumes and failure is retries.Failure.NOT_SENT:
             # The resumption was not sent; the attempt itself had begun.
--- a/packages/router/ibisring_router/peering.py
+++ b/packages/router/ibisring_router/peering.py
@@ -87,17 +87,17 @@
         }
 
     def on_listed(self, message):
-        self.membership.listed(message.vms)
+        self.membership.apply_vm_list(message.vms)
 
     def on_answered(self, message):
-        changed = self.membership.answered(
+        changed = self.membership.record_answer(
             message.peer, message.state, self.clock()
         )
         if changed:
             self._log_health(message.peer)
 
     def on_missed(self, message):
-        if self.membership.missed(message.peer):
+        if self.membership.record_miss(message.peer):
             self._log_health(message.peer)
 
     def on_read(self, message):
@@ -157,7 +157,7 @@
 
     def alive(self):
         """Give the peers that answer."""
-        return self.read(lambda members: members.alive())
+        return self.read(lambda members: members.alive_peers())
 
     def state(self):
         """Give what this router tells of itself."""
@@ -207,7 +207,7 @@
         peers = self.read(lambda members: list(members.peers.values()))
         list(self.pool.map(self._probe_one, peers))
         alive = {peer.id for peer in self.alive()}
-        takers = self.read(lambda members: members.takers())
+        takers = self.read(lambda members: members.serving_routers())
         self.placement.inspect(
             lambda dispatcher: dispatcher.set_routers(alive, takers)
         )
@@ -238,7 +238,7 @@
         skip : str
             Address of the peer they came from.
         """
-        for peer in self.read(lambda members: members.not_dead()):
+        for peer in self.read(lambda members: members.peers_not_dead()):
             if peer.address != skip:
                 self.pool.submit(self._push_one, peer.address, changes)
 
@@ -307,8 +307,8 @@
 
 
 def _hear(dispatcher, peer, state):
-    dispatcher.limits.hear(peer, state.demands)
-    dispatcher.shares.hear(peer, state.in_hand)
+    dispatcher.limits.receive_demands(peer, state.demands)
+    dispatcher.shares.receive_demands(peer, state.in_hand)
 
 
 def make_peering(
--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -63,9 +63,9 @@
         self.store_budget = storebudget.make_shared_budget(
             settings, self._routers, self.metrics
         )
-        self.table = self._budgeted(STORE_TIMEOUT, budgets.Urgency.WAITED_FOR)
+        self.table = self._budgeted(STORE_TIMEOUT, budgets.Urgency.FOREGROUND)
         self.upkeep_table = self._budgeted(
-            STORE_TIMEOUT, budgets.Urgency.UPKEEP
+            STORE_TIMEOUT, budgets.Urgency.BACKGROUND
         )
         self.keeper = recordkeeping.start_records(self.table, self.metrics)
         self.placement = dispatching.start_dispatcher(settings.router_id)
@@ -119,7 +119,7 @@
         """Make the claims; their table client gives up sooner."""
         return claiming.make_claims(
             self.settings,
-            self._budgeted(CLAIM_TIMEOUT, budgets.Urgency.WAITED_FOR),
+            self._budgeted(CLAIM_TIMEOUT, budgets.Urgency.FOREGROUND),
             self.upkeep_table,
             self._voters,
             self._peer_caller(),
@@ -146,7 +146,7 @@
             self.poller,
             self._answering,
             self.metrics,
-            self._control_caller(orders.ORDER_SECONDS / 2),
+            self._control_caller(orders.ORDER_TIMEOUT_SECONDS / 2),
         )
 
     def _control_caller(self, read_timeout):
--- a/packages/router/ibisring_router/reconciling.py
+++ b/packages/router/ibisring_router/reconciling.py
@@ -172,7 +172,7 @@
         Of a `LeaseActor`.
     weight_store : weights.WeightStore
     caller : calls.Caller
-        Its read timeout must not exceed ``orders.ORDER_SECONDS``.
+        Its read timeout must not exceed ``orders.ORDER_TIMEOUT_SECONDS``.
     members : callable
         Gives the ids of routers that answer, this one included.
     metrics : metrics.Metrics
@@ -198,8 +198,8 @@
         self.members = members
         self.metrics = metrics
         self.clock = clock
-        self.budget = orders.WeightBudget(SHARES)
-        self.idle = orders.IdleClock()
+        self.budget = orders.WeightFetchBudget(SHARES)
+        self.idle = orders.IdleTracker()
         self.held = set()
 
     def round(self):
@@ -226,7 +226,7 @@
         if status is None:
             return
         idle = self.idle.observe(endpoint, status, self.clock())
-        wanted = orders.wanted_order(endpoint, status, configuration, idle)
+        wanted = orders.next_order(endpoint, status, configuration, idle)
         if wanted is None or not self._within_rate(share, wanted):
             return
         order = engines.EngineOrder(
--- a/packages/router/ibisring_router/recordkeeping.py
+++ b/packages/router/ibisring_router/recordkeeping.py
@@ -81,14 +81,14 @@
         """Apply what follows; the answer is the revision in force."""
         before = self.in_force.revision
         for change in message.changes:
-            self.in_force.offer_change(change)
+            self.in_force.apply_change(change)
         self._publish(before)
         return self.in_force.revision
 
     def on_offer_snapshot(self, message):
         before = self.in_force.revision
         snapshot = message.snapshot
-        self.in_force.offer_snapshot(snapshot.revision, snapshot.records)
+        self.in_force.apply_snapshot(snapshot.revision, snapshot.records)
         self._publish(before)
         return self.in_force.revision
 
--- a/packages/router/ibisring_router/tests/test_configuration.py
+++ b/packages/router/ibisring_router/tests/test_configuration.py
@@ -306,9 +306,11 @@
 
 def test_another_vm_at_an_old_address_is_not_the_old_one():
     members = membership.make_membership('me', 8)
-    members.listed([vms.Vm('me', 'a:1', 'd'), vms.Vm('old', 'a:2', 'd')])
+    members.apply_vm_list(
+        [vms.Vm('me', 'a:1', 'd'), vms.Vm('old', 'a:2', 'd')]
+    )
     answer = builders.peer_state('new')
-    members.answered('old', answer, 1.0)
+    members.record_answer('old', answer, 1.0)
     assert members.peers['old'].health is membership.Health.DEAD
 
 
@@ -319,7 +321,7 @@
     used = set()
     for number in range(380):
         chosen = subsets.choose_subset(f'r{number}', every)
-        assert len(chosen) == 3 * subsets.SUBSET
+        assert len(chosen) == 3 * subsets.SUBSET_SIZE
         used.update(endpoint.name for endpoint in chosen)
     assert len(used) == len(every)
 
--- a/packages/router/ibisring_router/tests/test_keyed.py
+++ b/packages/router/ibisring_router/tests/test_keyed.py
@@ -14,7 +14,7 @@
 
 ALERT = {'zona': 'finca El Paraíso', 'aviso': 'rayos'}
 PATH = '/v1/services/etiquetado'
-WAITED_FOR = budgets.Urgency.WAITED_FOR
+FOREGROUND = budgets.Urgency.FOREGROUND
 MODEL_PATH = '/v1/completions'
 
 
@@ -178,7 +178,7 @@
     shared.routers = lambda: 1
     shared.budget = budgets.make_budget(writes, writes, 0.0)
     for _ in range(writes):
-        assert shared.budget.may_write(WAITED_FOR, 1, 0.0)
+        assert shared.budget.may_write(FOREGROUND, 1, 0.0)
 
 
 def test_alert_goes_out_when_the_store_budget_is_spent(site, fleet):
--- a/packages/router/ibisring_router/tests/test_processes.py
+++ b/packages/router/ibisring_router/tests/test_processes.py
@@ -135,7 +135,7 @@
     wait_until(lambda: all_held_by(site, {fleet[1].id}))
     assert get(fleet[1].callers, '/readyz').status == 200
     fleet[1].signal(signal.SIGTERM)
-    wait_until(lambda: all_held_by(site, {leases.NOBODY}))
+    wait_until(lambda: all_held_by(site, {leases.NO_HOLDER}))
 
 
 def test_paused_holder_comes_back_and_orders_nothing(site, fleet):
--- a/packages/router/ibisring_router/tests/test_reconciling.py
+++ b/packages/router/ibisring_router/tests/test_reconciling.py
@@ -66,7 +66,7 @@
     assert holders(table) == {'leaver'}
     clock.now = LAPSED
     leaver.ask(reconciling.Release())
-    assert holders(table) == {leases.NOBODY}
+    assert holders(table) == {leases.NO_HOLDER}
     stayer = start('stayer')
     stayer.ask(reconciling.Round(['stayer']))
     assert holders(table) == {'stayer'}
@@ -83,7 +83,7 @@
     for row in table.scan(reconciling.LEASE_PREFIX):
         table.commit({row.key: row.version}, {row.key: row.value})
     leaver.ask(reconciling.Release())
-    assert holders(table) == {leases.NOBODY}
+    assert holders(table) == {leases.NO_HOLDER}
 
 
 def test_release_during_an_outage_says_what_is_left(table, start):
@@ -94,7 +94,7 @@
     assert left == list(range(reconciling.SHARES))
     table.faults = faults.PlatformFaults(lose_answers=3)
     assert leaver.ask(reconciling.Release()) == []
-    assert holders(table) == {leases.NOBODY}
+    assert holders(table) == {leases.NO_HOLDER}
 
 
 def test_release_spares_a_later_process_of_the_same_id(table, clock, start):
--- a/packages/router/ibisring_router/tests/test_records_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_records_fuzz.py
@@ -241,20 +241,20 @@
     def offer(self, revision, stored):
         self.stored = {(r.kind, r.name): r for r in stored}
         self.revision = revision
-        return revisions.Step.APPLIED
+        return revisions.ApplyResult.APPLIED
 
-    monkeypatch.setattr(revisions.RecordsInForce, 'offer_snapshot', offer)
+    monkeypatch.setattr(revisions.ActiveRecords, 'apply_snapshot', offer)
 
 
 def skip_gaps(monkeypatch):
-    real = revisions.RecordsInForce.offer_change
+    real = revisions.ActiveRecords.apply_change
 
     def offer(self, change):
         if change.revision > self.revision:
             self.revision = change.revision - 1
         return real(self, change)
 
-    monkeypatch.setattr(revisions.RecordsInForce, 'offer_change', offer)
+    monkeypatch.setattr(revisions.ActiveRecords, 'apply_change', offer)
 
 
 def erase_what_v1_does_not_know(monkeypatch):
