--- a/packages/policy/ibisring_policy/admission.py
+++ b/packages/policy/ibisring_policy/admission.py
@@ -1,4 +1,7 @@
-"""The queue before a model or service: urgent first, fair among accounts."""
+"""Queue of requests for one model version or service.
+
+Priority classes are served strictly by rank, accounts within a class fairly.
+"""
 
 __all__ = ['Ticket', 'Target', 'TargetQueue', 'make_queue']
 
@@ -7,11 +10,11 @@
 import msgspec
 import sortedcontainers
 
-MOST_WAITING = 2000
+MAX_WAITING = 2000
 
 
 class Target(msgspec.Struct, frozen=True):
-    """What a request wants: a plain service, or a model in a version."""
+    """Destination of a request: a plain service, or a model version."""
 
     service: str = ''
     model: str = ''
@@ -19,17 +22,17 @@
     adapter: str = ''
 
     def pool(self):
-        """Give the name of what serves it, whatever the adapter."""
+        """Return the pool's name: the service or 'model@version'."""
         return self.service or f'{self.model}@{self.version}'
 
 
 class Ticket(msgspec.Struct):
-    """A request that wants to be sent on.
+    """A request to be sent to an endpoint or a chain of endpoints.
 
-    `cost` is in tokens (1 for a call of a service); `deadline`, `arrived`
-    and `wanted_by` are in seconds of the router's clock; `avoid` names
-    endpoints that failed it.  Objectives ask for an answer by `wanted_by`,
-    which is often long before the deadline.
+    `cost` is in tokens (1 for a service call); `deadline`, `arrived` and
+    `wanted_by` are in seconds of the router's clock; `avoid` names the
+    endpoints where the request has failed.  `wanted_by` is the time that
+    the service-level objectives set, often long before the deadline.
     """
 
     id: str
@@ -50,10 +53,11 @@
 
     Notes
     -----
-    Classes go strictly by rank; the dispatcher's reserved share keeps
-    slots free for the urgent ones.  Within a class, start-time fair queueing
-    in tokens [1]_: a large account's backlog advances its own tags only, so
-    a small account's next request goes before it.
+    Classes are served strictly by rank; the dispatcher's reserved share
+    keeps slots free for the urgent ones.  Within a class the queue uses
+    start-time fair queueing in tokens [1]_: the backlog of a large account
+    advances only that account's tags, so the next request of a small
+    account is served before it.
 
     References
     ----------
@@ -62,8 +66,8 @@
        networks", IEEE/ACM Transactions on Networking 5(5), 1997.
     """
 
-    def __init__(self, most_waiting):
-        self.most_waiting = most_waiting
+    def __init__(self, max_waiting):
+        self.max_waiting = max_waiting
         self.tickets = {}
         self.order = sortedcontainers.SortedDict()
         self.virtual_time = {}
@@ -74,11 +78,11 @@
         return len(self.tickets)
 
     def is_full(self):
-        """Say whether no further ticket may wait."""
-        return len(self.tickets) >= self.most_waiting
+        """Return whether the queue accepts no further ticket."""
+        return len(self.tickets) >= self.max_waiting
 
     def add(self, ticket):
-        """Queue a ticket, giving it its place among its class."""
+        """Add a ticket and set its start tag."""
         rank = ticket.rank
         account = (rank, ticket.account)
         clock = self.virtual_time.get(rank, 0.0)
@@ -86,47 +90,47 @@
         self.finish_tags[account] = start + ticket.cost / ticket.weight
         ticket.start_tag = start
         self.tickets[ticket.id] = ticket
-        self.order[self._place(ticket)] = ticket
+        self.order[self._sort_key(ticket)] = ticket
         waiting = self.waiting_cost.get(rank, 0.0)
         self.waiting_cost[rank] = waiting + ticket.cost
 
-    def _place(self, ticket):
+    def _sort_key(self, ticket):
         return (ticket.rank, ticket.start_tag, ticket.arrived, ticket.id)
 
     def remove(self, ticket_id):
-        """Take a ticket out; None if it is not here."""
+        """Remove and return a ticket; None if it is not queued."""
         ticket = self.tickets.pop(ticket_id, None)
         if ticket is None:
             return None
-        del self.order[self._place(ticket)]
+        del self.order[self._sort_key(ticket)]
         self.waiting_cost[ticket.rank] -= ticket.cost
         if not self.tickets:
-            self._forget_idle()
+            self._reset_tags()
         return ticket
 
-    def _forget_idle(self):
-        # All tags are relative to one another; nobody waits, so start anew.
+    def _reset_tags(self):
+        # Tags are relative to one another, so an empty queue can drop them.
         self.virtual_time.clear()
         self.finish_tags.clear()
         self.waiting_cost.clear()
 
     def grant(self, ticket_id):
-        """Take a ticket out because it is served, advancing the clock."""
+        """Remove a ticket to serve it, advancing its class's virtual time."""
         ticket = self.tickets[ticket_id]
         clock = self.virtual_time.get(ticket.rank, 0.0)
         self.virtual_time[ticket.rank] = max(clock, ticket.start_tag)
         return self.remove(ticket_id)
 
     def peek(self, index):
-        """Give the waiting ticket that is so many places from the first."""
+        """Return the waiting ticket at a position, 0 being the next one."""
         return self.order.peekitem(index)[1]
 
     def in_order(self):
-        """Give waiting tickets, the next to be served first."""
+        """Return the waiting tickets in the order of service."""
         return list(self.order.values())
 
     def cost_before(self, rank):
-        """Give the waiting cost of all classes down to a rank."""
+        """Return the waiting cost of all classes up to a rank, inclusive."""
         total = 0.0
         for other, cost in self.waiting_cost.items():
             if other <= rank:
@@ -141,7 +145,7 @@
         ticket : Ticket
             Not yet added.
         rate : float
-            Tokens a second that the target works off.
+            Tokens per second that the target processes.
 
         Returns
         -------
@@ -166,6 +170,6 @@
         return max(clock, self.finish_tags.get(account, 0.0))
 
 
-def make_queue(most_waiting=MOST_WAITING):
+def make_queue(max_waiting=MAX_WAITING):
     """Make the queue of one target."""
-    return TargetQueue(most_waiting)
+    return TargetQueue(max_waiting)
--- a/packages/policy/ibisring_policy/budgets.py
+++ b/packages/policy/ibisring_policy/budgets.py
@@ -1,4 +1,4 @@
-"""The budget of calls to the table service, shared by all routers."""
+"""Rate limit on calls to the table service, divided among all routers."""
 
 __all__ = ['Urgency', 'StoreBudget', 'make_budget']
 
@@ -6,23 +6,26 @@
 import math
 
 BURST_SECONDS = 1.0
-# A router that never read the VM list takes itself for one of so many.
+# Assumed number of routers until the VM list has been read once.
 ROUTERS_IF_UNKNOWN = 100
 
 
 class Urgency(enum.Enum):
-    """How much of the budget must be left for a call to be made.
+    """Fraction of the burst that must be left for a call to be allowed.
 
-    Polls, sweeps and late writes leave half of it to what a caller or an
-    operator waits for.
+    Background calls (polls, sweeps, delayed writes) leave half of it to
+    calls that a caller or an operator waits for.
     """
 
     FOREGROUND = 0.0
     BACKGROUND = 0.5
 
 
-class _Bucket:
-    """Calls of one kind; holds a second's worth, one call at least."""
+class _TokenBucket:
+    """Token bucket of reads or writes.
+
+    It holds the calls of `BURST_SECONDS`, and at least one call.
+    """
 
     __slots__ = ('total', 'level', 'updated')
 
@@ -32,67 +35,67 @@
         self.fill()
 
     def fill(self):
-        """Fill it, to the size that the next call finds."""
+        """Fill the bucket; the next call caps the level at its size."""
         self.level = math.inf
 
-    def take(self, routers, kept, now):
+    def take(self, routers, min_fraction, now):
         rate = self.total / routers
         size = max(1.0, rate * BURST_SECONDS)
         gained = (now - self.updated) * rate
         self.level = min(size, self.level + gained)
         self.updated = now
-        if self.level < max(1.0, kept * size):
+        if self.level < max(1.0, min_fraction * size):
             return False
         self.level -= 1.0
         return True
 
 
 class StoreBudget:
-    """Says whether this router may call the table service now.
+    """Limits the calls of this router to the table service.
 
     Parameters
     ----------
     reads, writes : int
-        Calls a second for all routers together.
+        Calls per second of all routers together.
     now : float
 
     Notes
     -----
-    Each router keeps to an equal part, so nothing has to be counted in
-    common.  In any `t` seconds the fleet makes at most ``total * t`` calls,
-    and one second's worth (or one call a router, if that is more) besides:
-    also when the service comes back and every router has work left over,
-    or when all of them start at once.
+    Each router uses an equal part of the limit, so no shared counter is
+    needed.  In any `t` seconds all routers together make at most
+    ``total * t`` calls plus one burst: the calls of one second, or one call
+    per router if that is more.  This also holds when the service recovers
+    and every router has queued work, or when all routers start at once.
     """
 
     def __init__(self, reads, writes, now):
-        self.reads = _Bucket(reads, now)
-        self.writes = _Bucket(writes, now)
-        self.knows_routers = False
+        self.reads = _TokenBucket(reads, now)
+        self.writes = _TokenBucket(writes, now)
+        self.router_count_known = False
 
     def may_read(self, urgency, routers, now):
-        """Take a read; False if it must not be made.
+        """Charge a read; False if it exceeds the budget.
 
         Parameters
         ----------
         urgency : Urgency
         routers : int
-            On the VM list; 0 if that was never read.
+            Routers on the VM list; 0 if it was never read.
         now : float
         """
         return self._take(self.reads, urgency, routers, now)
 
     def may_write(self, urgency, routers, now):
-        """Take a write; False if it must not be made."""
+        """Charge a write; False if it exceeds the budget."""
         return self._take(self.writes, urgency, routers, now)
 
     def _take(self, bucket, urgency, routers, now):
-        if routers and not self.knows_routers:
-            self.knows_routers = True
+        if routers and not self.router_count_known:
+            self.router_count_known = True
             self.reads.fill()
             self.writes.fill()
-        sharing = routers or ROUTERS_IF_UNKNOWN
-        return bucket.take(sharing, urgency.value, now)
+        router_count = routers or ROUTERS_IF_UNKNOWN
+        return bucket.take(router_count, urgency.value, now)
 
 
 def make_budget(reads, writes, now):
--- a/packages/policy/ibisring_policy/burn.py
+++ b/packages/policy/ibisring_policy/burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn: counting requests against their objectives."""
+"""Error budget burn rate: counts requests against their objectives."""
 
 __all__ = [
     'Group',
@@ -23,17 +23,17 @@
 from ibisring_records import schemas
 import msgspec
 
-MINUTE = 60
-MINUTES_KEPT = 130
-# Tallies are kept in one object for each period and process.
+MINUTE_SECONDS = 60
+RETAINED_MINUTES = 130
+# The tallies of a period are stored as one object per process.
 PERIOD_MINUTES = 10
 PLOT_MINUTES = 60
-PLOTTED_ACCOUNTS = 10
+MAX_PLOTTED_ACCOUNTS = 10
 WINDOWS = {'5m': 5, '1h': 60, '6h': 360, '24h': 1440}
 DEFAULT_OBJECTIVE = schemas.Objective(target=0.99, bound_ms=60_000)
 
-# The caller's own doing; it says nothing about the service.
-_CALLERS_DOING = (
+# Errors caused by the caller; they don't count against the service.
+_CALLER_ERRORS = (
     exceptions.InvalidRequest,
     exceptions.Unauthorized,
     exceptions.Forbidden,
@@ -45,22 +45,24 @@
 
 
 class Group(enum.StrEnum):
-    """By what requests are counted."""
+    """Dimension by which requests are counted."""
 
     SERVICE = 'service'
     CLASS = 'class'
     ACCOUNT = 'account'
 
 
-# Minutes added up in one tally.  Accounts are many, and each process hears
-# of nearly all of them: by the minute they would fill its control traffic.
+# Minutes per tally.  Accounts are many and nearly every process serves
+# requests of all of them, so tallies per minute would fill its control
+# traffic.
 RESOLUTION = {Group.SERVICE: 1, Group.CLASS: 1, Group.ACCOUNT: 5}
 
 
 class Tally(msgspec.Struct, array_like=True):
-    """Requests of some minutes: all, and those within the bound.
+    """Number of requests, and of those answered within the bound.
 
-    As JSON a pair: a router at full size keeps a thousand at a time.
+    Encoded as a JSON pair to save space: a fully loaded router stores a
+    thousand tallies at a time.
     """
 
     total: int = 0
@@ -68,10 +70,10 @@
 
 
 class Row(msgspec.Struct):
-    """Burn of one group member over one window.
+    """Burn rate of one group member over one window.
 
-    A `burn` of 1 spends just the error budget; `burn` is None without
-    requests.
+    A `burn` of 1 uses exactly the error budget; `burn` is None if there
+    were no requests.
     """
 
     group: Group
@@ -85,12 +87,12 @@
 
 
 def counts_as_bad(error):
-    """Say whether a request that ended in an error is counted as bad."""
-    return not isinstance(error, _CALLERS_DOING)
+    """Return whether a request with this error counts as bad."""
+    return not isinstance(error, _CALLER_ERRORS)
 
 
 def objective_for(configuration, group, name):
-    """Give the objective that the records set, or the default one.
+    """Return the objective set in the records, or the default one.
 
     Parameters
     ----------
@@ -114,7 +116,7 @@
 
 
 def group_members(service, priority, account):
-    """Give the members of each group that a request is counted for."""
+    """Return the name under which a request is counted in each group."""
     return {
         Group.SERVICE: service,
         Group.CLASS: priority or 'none',
@@ -123,7 +125,7 @@
 
 
 def tightest_bound_seconds(configuration, members):
-    """Give the tightest bound of a request's objectives, in seconds.
+    """Return the tightest bound of a request's objectives, in seconds.
 
     Parameters
     ----------
@@ -147,9 +149,9 @@
     Attributes
     ----------
     minutes : dict of int to dict of str to Tally
-        Unix minutes; tallies of several stand under the first.
+        By Unix minute; a tally of several minutes is under the first one.
     unsaved_periods : set of int
-        Periods with counts that were not kept yet.
+        Periods with counts that are not stored yet.
     """
 
     def __init__(self):
@@ -166,11 +168,11 @@
         seconds : float
             From its arrival to its end.
         answered : bool
-            Whole.
+            Whether it got a complete answer.
         wall_time : float
             Unix seconds.
         """
-        now = int(wall_time // MINUTE)
+        now = int(wall_time // MINUTE_SECONDS)
         self.unsaved_periods.add(now // PERIOD_MINUTES)
         for group, name in members.items():
             minute = now - now % RESOLUTION[group]
@@ -180,11 +182,11 @@
             tally.total += 1
             if answered and seconds * 1000.0 <= bound:
                 tally.good += 1
-        while len(self.minutes) > MINUTES_KEPT:
+        while len(self.minutes) > RETAINED_MINUTES:
             del self.minutes[min(self.minutes)]
 
     def minutes_of_period(self, period):
-        """Give the minutes of a period, to be kept as one object."""
+        """Return the tallies of a period, to be stored as one object."""
         return {
             str(minute): tallies
             for minute, tallies in self.minutes.items()
@@ -193,7 +195,7 @@
 
 
 def merge(parts):
-    """Add up the minutes of several processes.
+    """Sum the tallies of several processes by minute.
 
     Parameters
     ----------
@@ -206,16 +208,16 @@
     merged = {}
     for part in parts:
         for minute, tallies in part.items():
-            into = merged.setdefault(int(minute), {})
+            sums = merged.setdefault(int(minute), {})
             for key, tally in tallies.items():
-                sum_ = into.setdefault(key, Tally())
+                sum_ = sums.setdefault(key, Tally())
                 sum_.total += tally.total
                 sum_.good += tally.good
     return merged
 
 
 def burn_rows(configuration, minutes, wall_time):
-    """Work out the burn of every group member over every window.
+    """Compute the burn rate of every group member over every window.
 
     Parameters
     ----------
@@ -233,7 +235,7 @@
     .. [1] B. Beyer et al., "The Site Reliability Workbook", chapter 5,
        O'Reilly, 2018: burn over several windows.
     """
-    now = int(wall_time // MINUTE)
+    now = int(wall_time // MINUTE_SECONDS)
     keys = sorted({key for tallies in minutes.values() for key in tallies})
     rows = []
     for key in keys:
@@ -243,7 +245,7 @@
             m: found[key] for m, found in minutes.items() if key in found
         }
         for window, length in WINDOWS.items():
-            # A tally that began before the window counts with all of it.
+            # A tally that begins before the window counts in full.
             first = now - length - RESOLUTION[Group(group)] + 2
             chosen = [t for m, t in tallies.items() if first <= m <= now]
             rows.append(_row(Group(group), name, window, chosen, objective))
@@ -251,7 +253,7 @@
 
 
 def plotted_tallies(minutes, wall_time):
-    """Give the last hour, with only those accounts that fared worst.
+    """Return the last hour, limited to the accounts with most bad requests.
 
     Parameters
     ----------
@@ -262,17 +264,21 @@
     -------
     dict of str to dict of str to Tally
     """
-    now = int(wall_time // MINUTE)
-    last = {m: t for m, t in minutes.items() if now - PLOT_MINUTES < m <= now}
+    now = int(wall_time // MINUTE_SECONDS)
+    recent = {
+        m: t for m, t in minutes.items() if now - PLOT_MINUTES < m <= now
+    }
     bad = collections.Counter()
-    for tallies in last.values():
+    for tallies in recent.values():
         for key, tally in tallies.items():
             if key.startswith(Group.ACCOUNT.value):
                 bad[key] += tally.total - tally.good
-    hidden = bad.keys() - {key for key, _ in bad.most_common(PLOTTED_ACCOUNTS)}
+    hidden = bad.keys() - {
+        key for key, _ in bad.most_common(MAX_PLOTTED_ACCOUNTS)
+    }
     return {
         str(minute): {k: t for k, t in tallies.items() if k not in hidden}
-        for minute, tallies in sorted(last.items())
+        for minute, tallies in sorted(recent.items())
     }
 
 
--- a/packages/policy/ibisring_policy/dispatch.py
+++ b/packages/policy/ibisring_policy/dispatch.py
@@ -267,7 +267,7 @@
         return []
 
     def tick(self, now):
-        """Give up what can't meet its deadline any more; grant the rest."""
+        """Return up what can't meet its deadline any more; grant the rest."""
         for target in self.queues:
             # Also where nothing arrives: what peers are told must sink.
             self.placer.parts_of_all(target, now)
@@ -290,7 +290,7 @@
         return results
 
     def waiting(self):
-        """Give how many tickets wait."""
+        """Return how many tickets wait."""
         return sum(len(queue) for queue in self.queues.values())
 
     # Placement
@@ -324,7 +324,7 @@
         return grants
 
     def _too_late(self, ticket, endpoints, now):
-        """Say whether these endpoints would finish a ticket too late.
+        """Return whether these endpoints would finish a ticket too late.
 
         Work that is late when it is done takes the place of work that
         would be in time.  Accelerators differ in speed, so this is looked
@@ -348,14 +348,14 @@
         return Grant(ticket, endpoints, self._expected_pace(names))
 
     def _expected_pace(self, names):
-        """Give the expected seconds a token, infinite if not measured."""
+        """Return the expected seconds a token, infinite if not measured."""
         states = [self.states[name] for name in names]
         if not all(state.measured for state in states):
             return math.inf
         return sum(state.token_seconds for state in states)
 
     def _in_hand(self, pool):
-        """Give how many requests of a pool run or wait here."""
+        """Return how many requests of a pool run or wait here."""
         waiting = sum(
             len(queue)
             for target, queue in self.queues.items()
--- a/packages/policy/ibisring_policy/leases.py
+++ b/packages/policy/ibisring_policy/leases.py
@@ -40,12 +40,12 @@
 
 
 def share_of(name, shares):
-    """Give the number of the share that an endpoint belongs to."""
+    """Return the number of the share that an endpoint belongs to."""
     return xxhash.xxh64_intdigest(name.encode()) % shares
 
 
 def contenders(share, members):
-    """Give the members that may take a share's lease, the first first.
+    """Return the members that may take a share's lease, the first first.
 
     Only a few contend, so that the rows are read by few.
     """
@@ -104,7 +104,7 @@
             self.held_until = -math.inf
 
     def holds(self, now):
-        """Say whether orders may be sent; ask right before each."""
+        """Return whether orders may be sent; ask right before each."""
         return now < self.held_until
 
     def intent(self, now, is_contender):
@@ -138,7 +138,7 @@
         return self.seconds * (1.0 - MARGIN)
 
     def next_row(self, intent):
-        """Give the row to write for an intent."""
+        """Return the row to write for an intent."""
         fencing = self.row.fencing if self.row is not None else 0
         count = self.row.count if self.row is not None else 0
         if intent is Intent.ACQUIRE:
@@ -165,7 +165,7 @@
             self.term = row.fencing
 
     def is_own_term(self):
-        """Say whether the row is still this process's, lapsed or not.
+        """Return whether the row is still this process's, lapsed or not.
 
         The fencing number tells it from a row that a later process wrote
         under the same id.
@@ -175,7 +175,7 @@
         return self.row.fencing == self.term
 
     def released_row(self):
-        """Give the row that hands the lease over; trust it no longer.
+        """Return the row that hands the lease over; trust it no longer.
 
         Notes
         -----
--- a/packages/policy/ibisring_policy/limits.py
+++ b/packages/policy/ibisring_policy/limits.py
@@ -10,7 +10,7 @@
 
 
 def share_of_limit(limit, own_demand, peer_demands, routers):
-    """Give this router's part of an account's limit.
+    """Return this router's part of an account's limit.
 
     Parameters
     ----------
@@ -96,12 +96,12 @@
         self.routers = 1
 
     def demand(self, account, now):
-        """Give the tokens a second that an account asks for here."""
+        """Return the tokens a second that an account asks for here."""
         level, updated = self.demands.get(account, (0.0, now))
         return level * 0.5 ** ((now - updated) / DEMAND_HALF_LIFE)
 
     def all_demands(self, now):
-        """Give the demands worth telling peers, by account."""
+        """Return the demands worth telling peers, by account."""
         found = {a: self.demand(a, now) for a in self.buckets}
         return {a: round(d, 1) for a, d in found.items() if d >= 0.1}
 
--- a/packages/policy/ibisring_policy/loads.py
+++ b/packages/policy/ibisring_policy/loads.py
@@ -92,7 +92,7 @@
         return self.own + self.others(now)
 
     def usable(self, now, part):
-        """Give how many more requests may be sent.
+        """Return how many more requests may be sent.
 
         Parameters
         ----------
@@ -150,7 +150,7 @@
         self.ejected_until = now + seconds
 
     def is_ejected(self, now):
-        """Say whether it is left out for its failures."""
+        """Return whether it is left out for its failures."""
         return now < self.ejected_until
 
 
--- a/packages/policy/ibisring_policy/membership.py
+++ b/packages/policy/ibisring_policy/membership.py
@@ -176,7 +176,7 @@
         return changed
 
     def addresses(self):
-        """Give the other members' addresses by id; None if never listed.
+        """Return the other members' addresses by id; None if never listed.
 
         A router that never read the list must not take itself for the
         only one: it would be a majority of itself.
@@ -186,15 +186,15 @@
         return {vm.id: vm.address for vm in self.members.values()}
 
     def alive_peers(self):
-        """Give the peers that answer."""
+        """Return the peers that answer."""
         return [p for p in self.peers.values() if p.health is Health.ALIVE]
 
     def peers_not_dead(self):
-        """Give the peers that are worth telling something."""
+        """Return the peers that are worth telling something."""
         return [p for p in self.peers.values() if p.health is not Health.DEAD]
 
     def serving_routers(self):
-        """Give the ids of the routers that take callers, this one included.
+        """Return the ids of the routers that take callers, this one included.
 
         Members that aren't probed from here count as alive.
         """
--- a/packages/policy/ibisring_policy/orders.py
+++ b/packages/policy/ibisring_policy/orders.py
@@ -33,7 +33,7 @@
 
 
 def next_order(endpoint, status, configuration, idle=0.0):
-    """Give the next order for an engine, or None if all is as wanted.
+    """Return the next order for an engine, or None if all is as wanted.
 
     Parameters
     ----------
@@ -120,7 +120,7 @@
 
 
 def may_send(endpoint, lease, now):
-    """Say whether an order may be sent now; ask right before sending.
+    """Return whether an order may be sent now; ask right before sending.
 
     Parameters
     ----------
--- a/packages/policy/ibisring_policy/placing.py
+++ b/packages/policy/ibisring_policy/placing.py
@@ -32,7 +32,7 @@
     rng : random.Random
     router_id : str
     in_hand : callable
-        Gives how many requests of a pool run or wait here.
+        Returns how many requests of a pool run or wait here.
     """
 
     def __init__(self, rng, router_id, in_hand):
@@ -107,7 +107,7 @@
         return found
 
     def parts_of_all(self, target, now):
-        """Give this router's part of each endpoint's slots.
+        """Return this router's part of each endpoint's slots.
 
         They change with what routers are asked for, and are worked out
         anew a few times a second.
@@ -129,7 +129,7 @@
         return found
 
     def _parts_of(self, target, usable, now):
-        """Give the parts of those endpoints that may be used.
+        """Return the parts of those endpoints that may be used.
 
         Where none of a layer range is this router's, for it is small or
         the others have failed, each of them may get one request: an engine
@@ -151,7 +151,7 @@
         }
 
     def _kept(self, target, usable, parts, reserved):
-        """Give the slots kept for more urgent requests, by endpoint."""
+        """Return the slots kept for more urgent requests, by endpoint."""
         if not reserved:
             return {}
         ranges = {}
@@ -166,7 +166,7 @@
         return kept
 
     def _all_of(self, target):
-        """Give every endpoint of a target that is serving."""
+        """Return every endpoint of a target that is serving."""
         if target.service:
             every = self.configuration.service_endpoints(target.service)
         else:
@@ -189,7 +189,7 @@
         return state.ready and not state.draining
 
     def _open(self, target, avoid, now):
-        """Give the endpoints that may be used, ejected ones last.
+        """Return the endpoints that may be used, ejected ones last.
 
         On a bad day every endpoint has failed lately.  Leaving all of them
         out would turn a bad day into an outage, so when the healthy ones
@@ -221,7 +221,7 @@
         return model.layers if model is not None else 0
 
     def capacity(self, target, now):
-        """Give how many requests the target works on at once."""
+        """Return how many requests the target works on at once."""
         usable = self._open(target, frozenset(), now)
         parts = self._parts_of(target, usable, now)
         spans = []
@@ -234,13 +234,13 @@
         return routing.bottleneck(spans, self._layers(target))
 
     def _reserved(self, rank):
-        """Give the share kept for classes more urgent than a rank."""
+        """Return the share kept for classes more urgent than a rank."""
         classes = self.configuration.priorities.values()
         kept = sum(c.reserved_share for c in classes if c.rank < rank)
         return min(MOST_RESERVED, kept)
 
     def _fastest(self, endpoints):
-        """Give the pace to believe of an endpoint that was never measured.
+        """Return the pace to believe of an endpoint that was never measured.
 
         An endpoint believed to be slow is never chosen, so it is never
         measured, and stands idle for ever.  The fastest pace known makes
@@ -285,7 +285,7 @@
         return [c.endpoint for c in chain or fastest]
 
     def _candidates(self, ticket, now):
-        """Give the endpoints that can take a ticket now."""
+        """Return the endpoints that can take a ticket now."""
         reserved = self._reserved(ticket.rank)
         usable = self._open(ticket.target, ticket.avoid, now)
         parts = self._parts_of(ticket.target, usable, now)
@@ -309,13 +309,13 @@
 
 
 def _slowest_pace(ticket, now):
-    """Give the most seconds a token that leave a ticket time to spare."""
+    """Return the most seconds a token that leave a ticket time to spare."""
     end = min(ticket.deadline, ticket.wanted_by)
     return (end - now) / max(1.0, ticket.cost) / SPARE_TIME_FACTOR
 
 
 def _layers_of(endpoint):
-    """Give what an engine must hold to serve its record."""
+    """Return what an engine must hold to serve its record."""
     spec = endpoint.spec
     return (
         spec.model,
--- a/packages/policy/ibisring_policy/retries.py
+++ b/packages/policy/ibisring_policy/retries.py
@@ -133,7 +133,7 @@
 
 
 def outcome_of(failure, began):
-    """Give the truthful outcome when no further step is taken.
+    """Return the truthful outcome when no further step is taken.
 
     Parameters
     ----------
@@ -192,7 +192,7 @@
 
 
 def backoff(attempt, rng, base=BACKOFF_BASE, cap=BACKOFF_CAP):
-    """Give a wait before another attempt, with full jitter.
+    """Return a wait before another attempt, with full jitter.
 
     Parameters
     ----------
@@ -209,7 +209,7 @@
 
 
 def is_slow(seconds, tokens, expected):
-    """Say whether an attempt is so slow that another chain is better.
+    """Return whether an attempt is so slow that another chain is better.
 
     Parameters
     ----------
--- a/packages/policy/ibisring_policy/revisions.py
+++ b/packages/policy/ibisring_policy/revisions.py
@@ -81,14 +81,14 @@
         return ApplyResult.APPLIED
 
     def changes_since(self, revision):
-        """Give the changes after a revision, or None if not all are here."""
+        """Return the changes after a revision, or None if not all are here."""
         wanted = range(revision + 1, self.revision + 1)
         if all(number in self.recent for number in wanted):
             return [self.recent[number] for number in wanted]
         return None
 
     def build(self):
-        """Give the configuration in force."""
+        """Return the configuration in force."""
         return configuration.build(self.revision, self.stored.values())
 
 
--- a/packages/policy/ibisring_policy/routing.py
+++ b/packages/policy/ibisring_policy/routing.py
@@ -29,16 +29,16 @@
     token_seconds: float
 
     def cost(self):
-        """Give the expected seconds a token, growing with the load."""
+        """Return the expected seconds a token, growing with the load."""
         return self.token_seconds * (1.0 + self.load)
 
     def fullness(self):
-        """Give a cost that grows with the load alone."""
+        """Return a cost that grows with the load alone."""
         return 1.0 + self.load
 
 
 def link_seconds(first, second):
-    """Give the seconds that activations take between two endpoints.
+    """Return the seconds that activations take between two endpoints.
 
     By failure domain; what a slow link adds is learned as its endpoints'
     pace.
@@ -115,7 +115,7 @@
     sample : int
         Candidates drawn for each layer range.
     cost : callable
-        Gives what a candidate adds to the path.
+        Returns what a candidate adds to the path.
 
     Returns
     -------
@@ -180,7 +180,7 @@
 
 
 def pace(chain):
-    """Give the expected seconds a token of a list of candidates."""
+    """Return the expected seconds a token of a list of candidates."""
     return sum(candidate.token_seconds for candidate in chain)
 
 
@@ -193,7 +193,7 @@
 
 
 def bottleneck(endpoints, layers):
-    """Give the least total of `slots` over any layer, 0 if one is missing.
+    """Return the least total of `slots` over any layer, 0 if one is missing.
 
     Parameters
     ----------
--- a/packages/policy/ibisring_policy/shares.py
+++ b/packages/policy/ibisring_policy/shares.py
@@ -24,7 +24,7 @@
 
 
 def parts_of_range(slots, pool, weights, own_id):
-    """Give a router's whole part of each endpoint of a layer range.
+    """Return a router's whole part of each endpoint of a layer range.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
 
 @functools.lru_cache(maxsize=LINES_KEPT)
 def _line(slots):
-    """Give an endpoint's name for each slot, spread evenly."""
+    """Return an endpoint's name for each slot, spread evenly."""
     places = [
         ((turn + 0.5) / count, xxhash.xxh64_intdigest(name.encode()), name)
         for name, count in slots
@@ -139,7 +139,7 @@
         self.own[pool] = (count + weight * (old - count), now)
 
     def demands(self):
-        """Give what is told to peers: average requests in hand, by pool."""
+        """Return what is told to peers: average requests in hand, by pool."""
         found = {
             pool: round(value, 1) for pool, (value, _) in self.own.items()
         }
@@ -166,7 +166,7 @@
         self.heard[router] = demands
 
     def weights(self, pool):
-        """Give the share of each router in a pool's slots; they sum to 1.
+        """Return the share of each router in a pool's slots; they sum to 1.
 
         A part is split evenly, so that a router that was idle can begin at
         once.  One that was not heard is taken for an average one.
@@ -187,7 +187,7 @@
         }
 
     def parts(self, pool, endpoints, alike, weights):
-        """Give this router's part of each endpoint's slots, by name.
+        """Return this router's part of each endpoint's slots, by name.
 
         Parameters
         ----------
--- a/packages/policy/ibisring_policy/streams.py
+++ b/packages/policy/ibisring_policy/streams.py
@@ -91,7 +91,7 @@
         return Verdict.FINISH
 
     def failure(self, event):
-        """Say whether a failure event concerns the current attempt."""
+        """Return whether a failure event concerns the current attempt."""
         if self._is_current(event):
             return True
         self.dropped += 1
--- a/packages/policy/ibisring_policy/subsets.py
+++ b/packages/policy/ibisring_policy/subsets.py
@@ -12,7 +12,7 @@
 
 
 def kind_of(endpoint):
-    """Give what endpoints that can take each other's place have in common.
+    """Return what endpoints that can take each other's place have in common.
 
     Returns
     -------
--- a/packages/policy/ibisring_policy/targets.py
+++ b/packages/policy/ibisring_policy/targets.py
@@ -7,7 +7,7 @@
 
 
 def _default_version(configuration, model):
-    """Give a model's default version, else its last one by name."""
+    """Return a model's default version, else its last one by name."""
     named = configuration.models[model].default_version
     if named:
         return named
@@ -68,7 +68,7 @@
 
 
 def choose_priority(configuration, account, wanted, is_service):
-    """Give the priority class of a request.
+    """Return the priority class of a request.
 
     Parameters
     ----------
--- a/packages/policy/ibisring_policy/tests/builders.py
+++ b/packages/policy/ibisring_policy/tests/builders.py
@@ -34,7 +34,7 @@
 def in_force(
     replicas=2, slots=2, reserved=0.0, limit=0.0, leaving=(), standby=()
 ):
-    """Give a model of two stages and a service, with some replicas each."""
+    """Return a model of two stages and a service, with some replicas each."""
     endpoints = {}
     for number in range(replicas):
         for first, last in RANGES:
@@ -72,7 +72,7 @@
 
 
 def ticket(name, **changes):
-    """Give a ticket for the model unless told otherwise."""
+    """Return a ticket for the model unless told otherwise."""
     given = {
         'account': 'a',
         'rank': 1,
@@ -86,7 +86,7 @@
 
 
 def dispatcher(seed=3, **changes):
-    """Give a dispatcher that has a configuration in force."""
+    """Return a dispatcher that has a configuration in force."""
     made = dispatch.make_dispatcher(random.Random(seed))
     made.configure(in_force(**changes), 0.0)
     return made
--- a/packages/policy/ibisring_policy/tests/test_budgets.py
+++ b/packages/policy/ibisring_policy/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""The fleet's calls to the table service stay within one budget."""
+"""The calls of all routers to the table service stay within one budget."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -11,7 +11,7 @@
 FOREGROUND = budgets.Urgency.FOREGROUND
 
 
-def fleet(routers):
+def make_fleet(routers):
     return [budgets.make_budget(TOTAL, TOTAL, 0.0) for _ in range(routers)]
 
 
@@ -29,18 +29,18 @@
     ),
 )
 def test_fuzz_no_window_holds_more_than_the_budget(routers, demands):
-    """Symptom: the service comes back and is down again at once.
+    """Guards against overloading the table service as it recovers.
 
-    Sequence: after an outage every router writes what it has left over.
-    Cause: each kept to a limit of its own, and nobody to one for all.
+    After an outage every router writes its backlog; limits per router
+    alone let the sum of all routers bring the service down again.
     """
-    every = fleet(routers)
+    fleet = make_fleet(routers)
     made = []
     now = 0.0
-    for wait, router, wanted, urgency in demands:
+    for wait, router, calls, urgency in demands:
         now += wait
-        budget = every[router % routers]
-        for _ in range(wanted):
+        budget = fleet[router % routers]
+        for _ in range(calls):
             if budget.may_write(urgency, routers, now):
                 made.append(now)
     burst = max(TOTAL * budgets.BURST_SECONDS, routers)
@@ -50,7 +50,7 @@
             assert within <= TOTAL * max(0.0, end - start) + burst + 1e-6
 
 
-def test_polls_leave_half_to_what_a_caller_waits_for():
+def test_background_reads_leave_half_of_the_burst_to_foreground_reads():
     budget = budgets.make_budget(TOTAL, TOTAL, 0.0)
     polls = [budget.may_read(BACKGROUND, 1, 0.0) for _ in range(TOTAL)]
     assert sum(polls) == TOTAL / 2 + 1
@@ -58,7 +58,7 @@
     assert not budget.may_read(BACKGROUND, 1, 0.0)
 
 
-def test_reads_and_writes_are_counted_apart():
+def test_reads_and_writes_are_counted_separately():
     budget = budgets.make_budget(1, 1, 0.0)
     assert budget.may_read(FOREGROUND, 1, 0.0)
     assert budget.may_write(FOREGROUND, 1, 0.0)
@@ -66,7 +66,7 @@
     assert budget.may_write(FOREGROUND, 1, 1.0)
 
 
-def test_router_that_never_read_the_list_takes_a_small_part():
+def test_router_without_a_vm_list_assumes_the_default_router_count():
     budget = budgets.make_budget(1000, 1000, 0.0)
     taken = [budget.may_write(FOREGROUND, 0, 0.0) for _ in range(50)]
     assert sum(taken) == 1000 / budgets.ROUTERS_IF_UNKNOWN
--- a/packages/policy/ibisring_policy/tests/test_burn.py
+++ b/packages/policy/ibisring_policy/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn."""
+"""Error budget burn rate."""
 
 from ibisring_policy import burn
 from ibisring_records import configuration
@@ -9,7 +9,7 @@
 OBJECTIVE = schemas.Objective(target=0.9, bound_ms=500)
 
 
-def in_force():
+def active_configuration():
     return configuration.Configuration(
         1,
         {'m': schemas.ModelV2(layers=3, objective=OBJECTIVE)},
@@ -23,63 +23,69 @@
     )
 
 
-def test_burn_is_the_share_of_the_budget_spent():
-    book = burn.BurnCounter()
+def test_burn_rate_is_the_ratio_of_bad_requests_to_the_error_budget():
+    counter = burn.BurnCounter()
     members = {burn.Group.SERVICE: 'm'}
     for seconds, answered in ((0.1, True), (0.6, True), (0.1, False)):
-        book.count(in_force(), members, seconds, answered, NOW)
+        counter.count(active_configuration(), members, seconds, answered, NOW)
     for _ in range(7):
-        book.count(in_force(), members, 0.1, True, NOW - 120.0)
-    rows = burn.burn_rows(in_force(), burn.merge([book.minutes]), NOW)
+        counter.count(active_configuration(), members, 0.1, True, NOW - 120.0)
+    rows = burn.burn_rows(
+        active_configuration(), burn.merge([counter.minutes]), NOW
+    )
     by_window = {row.window: row for row in rows}
     assert by_window['5m'].total == 10
     assert by_window['5m'].good == 8
     assert by_window['5m'].burn == 2.0
 
 
-def test_processes_are_added_up():
-    books = [burn.BurnCounter(), burn.BurnCounter()]
-    for book in books:
-        book.count(in_force(), {burn.Group.CLASS: 'x'}, 0.1, True, NOW)
-    merged = burn.merge(book.minutes for book in books)
+def test_merge_sums_the_tallies_of_processes():
+    counters = [burn.BurnCounter(), burn.BurnCounter()]
+    for counter in counters:
+        counter.count(
+            active_configuration(), {burn.Group.CLASS: 'x'}, 0.1, True, NOW
+        )
+    merged = burn.merge(counter.minutes for counter in counters)
     assert merged[int(NOW // 60)]['class/x'].total == 2
 
 
-def test_callers_own_mistakes_burn_nothing():
+def test_caller_errors_do_not_count_as_bad():
     assert not burn.counts_as_bad(exceptions.InvalidRequest('x'))
     assert not burn.counts_as_bad(exceptions.AccountLimited('x'))
     assert burn.counts_as_bad(exceptions.Overloaded('x'))
     assert burn.counts_as_bad(exceptions.OutcomeUnknown('x'))
 
 
-def test_accounts_are_counted_by_five_minutes_and_lose_nothing():
-    book = burn.BurnCounter()
+def test_account_tallies_of_five_minutes_lose_no_requests():
+    counter = burn.BurnCounter()
     members = {burn.Group.ACCOUNT: 'a', burn.Group.CLASS: 'x'}
     times = [NOW - 60.0 * minute for minute in range(10)]
     for time in times:
-        book.count(in_force(), members, 0.1, True, time)
-    keys = [key for tallies in book.minutes.values() for key in tallies]
+        counter.count(active_configuration(), members, 0.1, True, time)
+    keys = [key for tallies in counter.minutes.values() for key in tallies]
     assert (keys.count('account/a'), keys.count('class/x')) == (3, 10)
-    rows = burn.burn_rows(in_force(), book.minutes, NOW)
+    rows = burn.burn_rows(active_configuration(), counter.minutes, NOW)
     found = {(row.name, row.window): row.total for row in rows}
     assert found['x', '5m'] == 5
     assert 5 <= found['a', '5m'] <= 9
     assert found['a', '1h'] == found['x', '1h'] == 10
 
 
-def test_plots_show_the_accounts_that_fared_worst():
-    book = burn.BurnCounter()
+def test_plots_show_the_accounts_with_most_bad_requests():
+    counter = burn.BurnCounter()
     for number in range(30):
         for _ in range(number + 1):
             members = {burn.Group.ACCOUNT: str(number)}
-            book.count(in_force(), members, 0.1, False, NOW)
-    (tallies,) = burn.plotted_tallies(book.minutes, NOW).values()
+            counter.count(active_configuration(), members, 0.1, False, NOW)
+    (tallies,) = burn.plotted_tallies(counter.minutes, NOW).values()
     assert set(tallies) == {f'account/{n}' for n in range(20, 30)}
 
 
-def test_tightest_objective_says_when_an_answer_is_wanted():
+def test_tightest_objective_of_a_request_applies():
     members = burn.group_members('m', '', 'a')
-    assert burn.tightest_bound_seconds(in_force(), members) == 0.5
+    assert burn.tightest_bound_seconds(active_configuration(), members) == 0.5
     others = burn.group_members('other', 'none', 'a')
     default = burn.DEFAULT_OBJECTIVE.bound_ms / 1000.0
-    assert burn.tightest_bound_seconds(in_force(), others) == default
+    assert (
+        burn.tightest_bound_seconds(active_configuration(), others) == default
+    )
--- a/packages/policy/ibisring_policy/tests/test_dispatch.py
+++ b/packages/policy/ibisring_policy/tests/test_dispatch.py
@@ -404,7 +404,7 @@
 
 
 def with_paces(paces):
-    """Give a dispatcher whose engines e0-0, e2-0 ... have known paces."""
+    """Return a dispatcher whose engines e0-0, e2-0 ... have known paces."""
     dispatcher = builders.dispatcher()
     for name, state in dispatcher.states.items():
         if name[-1] in paces:
--- a/packages/policy/ibisring_policy/tests/test_orders.py
+++ b/packages/policy/ibisring_policy/tests/test_orders.py
@@ -102,7 +102,7 @@
 
 
 def idle_at(clock, wanted, read, *times):
-    """Give the idle seconds after a reading at each of some times."""
+    """Return the idle seconds after a reading at each of some times."""
     return [clock.observe(wanted, read(), now) for now in times][-1]
 
 
--- a/packages/policy/ibisring_policy/tests/test_shares.py
+++ b/packages/policy/ibisring_policy/tests/test_shares.py
@@ -27,7 +27,7 @@
 
 
 def parts_of(router, chosen, endpoints):
-    """Give a router's parts of some of the endpoints."""
+    """Return a router's parts of some of the endpoints."""
     alike = collections.defaultdict(dict)
     for endpoint in endpoints:
         slots = alike[subsets.kind_of(endpoint)]
