--- a/packages/policy/ibisring_policy/claims.py
+++ b/packages/policy/ibisring_policy/claims.py
@@ -1,9 +1,10 @@
-"""At most one run for an Idempotency-Key, over all routers.
+"""At most one run per Idempotency-Key over all routers.
 
-A router that wants to run a keyed request that is not idempotent first has
-the table service keep a claim row (if it is up), then has a majority of
-claim voters remember the claim.  The rules here are pure; the router's
-`claiming` module asks, and feeds the answers to `decide`.
+Before a router runs a keyed request that is not idempotent, it stores a
+claim row in the table service (if that is up) and then has a majority of
+claim voters remember the claim.  The rules here are pure functions; the
+router's `claiming` module sends the requests and passes the replies to
+`decide`.
 """
 
 __all__ = [
@@ -24,15 +25,16 @@
 import msgspec
 import xxhash
 
-MOST_VOTERS = 7
+MAX_VOTERS = 7
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A router's claim to run a key.
+    """A router's claim to run the request with a key.
 
-    `id` is the request's; `owner` the 'IP:PORT' where peers ask for the
-    answer; `fingerprint` tells whether a repeat has the same body;
-    `made_at` is Unix time, used only to clear old rows away.
+    `id` is the id of the request; `owner` is the 'IP:PORT' from which peers
+    fetch the answer; `fingerprint` identifies the request's body, to compare
+    it with that of a repeat; `made_at` is Unix time, used only to delete
+    old rows.
     """
 
     key: str
@@ -43,9 +45,9 @@
 
 
 class Vote(msgspec.Struct):
-    """A voter's answer: `held` is the claim it remembers for the key.
+    """A voter's reply: `held` is the claim that it stores for the key.
 
-    `remembers` is how many seconds its memory reaches back.
+    `remembers` is for how many seconds the voter has stored claims.
     """
 
     held: Claim
@@ -53,7 +55,7 @@
 
 
 class TableAnswer(enum.StrEnum):
-    """What the table service says to a claim."""
+    """Reply of the table service to a claim."""
 
     GRANTED = 'granted'
     HELD = 'held'
@@ -76,10 +78,10 @@
 
 
 def voters(key, members):
-    """Choose the members that remember claims to a key.
+    """Choose the members that store the claims to a key.
 
-    Rendezvous hashing [1]_: views that differ by a few members still agree
-    on most voters.
+    Rendezvous hashing [1]_ is used, so that routers whose member lists
+    differ slightly still agree on most voters.
 
     References
     ----------
@@ -95,7 +97,7 @@
         members,
         key=lambda name: xxhash.xxh64_intdigest(f'{key}\0{name}'.encode()),
     )
-    return sorted(ranked[:MOST_VOTERS])
+    return sorted(ranked[:MAX_VOTERS])
 
 
 def decide(claim, table, table_holder, votes, voter_count, window):
@@ -106,13 +108,13 @@
     claim : Claim
     table : TableAnswer
     table_holder : Claim or None
-        Whom the table names, if it is HELD.
+        The claim in the table, if it is HELD.
     votes : list of Vote
-        From the voters that answered, this router's own among them.
+        From the voters that replied, including this router's own.
     voter_count : int
-        How many voters there are, answering or not.
+        Number of voters, whether or not they replied.
     window : float
-        Seconds that a claim must be remembered.
+        Seconds for which a claim must be remembered.
 
     Returns
     -------
@@ -120,16 +122,16 @@
 
     Notes
     -----
-    What goes wrong without it: a caller or the balancer repeats an alert
-    whose answer was lost, the repeat reaches another router, and the alert
-    goes out twice.
-
-    Any memory of another claim forbids running.  Otherwise a majority must
-    have remembered this claim, so that a later repeat, whichever majority
-    it asks, meets at least one of them.  During an outage of the table a
-    voter that started within the window does not count, since an earlier
-    claim may have been forgotten with its former process; while the table
-    answers, its row stands for that memory.
+    This guards against a duplicate run: a caller or the load balancer
+    repeats an alert whose answer was lost, the repeat reaches another
+    router, and the alert is sent out twice.
+
+    The request may not run if any voter stores another claim.  Otherwise a
+    majority must store this claim, so that any majority queried for a later
+    repeat includes at least one of these voters.  During an outage of the
+    table a voter that started within the window does not count, because a
+    claim may have been lost with its former process; while the table
+    is available, its row makes up for that loss.
     """
     if table is TableAnswer.HELD:
         return Decision(Verdict.HELD, table_holder)
@@ -146,12 +148,12 @@
 
 
 class ClaimVoter:
-    """The claims that one voter remembers.
+    """One voter and the claims that it stores.
 
     Parameters
     ----------
     window : float
-        Seconds that a claim is remembered.
+        Seconds for which a claim is remembered.
     started_at : float
     """
 
@@ -161,7 +163,7 @@
         self.claims = collections.OrderedDict()
 
     def vote(self, claim, now):
-        """Remember a claim unless another one holds the key.
+        """Store a claim unless another one holds the key.
 
         Returns
         -------
@@ -172,19 +174,19 @@
         return Vote(held, now - self.started_at)
 
     def release(self, key, claim_id):
-        """Forget a claim whose request certainly did not run."""
+        """Delete a claim whose request certainly did not run."""
         held = self.claims.get(key)
         if held is not None and held[0].id == claim_id:
             del self.claims[key]
 
     def _expire(self, now):
         while self.claims:
-            key, (_, at) = next(iter(self.claims.items()))
-            if now - at < self.window:
+            key, (_, stored_at) = next(iter(self.claims.items()))
+            if now - stored_at < self.window:
                 return
             del self.claims[key]
 
 
 def make_voter(window, started_at):
-    """Make the claim book of a voter."""
+    """Make a claim voter."""
     return ClaimVoter(window, started_at)
