--- a/packages/policy/ibisring_policy/membership.py
+++ b/packages/policy/ibisring_policy/membership.py
@@ -100,7 +100,7 @@
         self.peers = {}
         self.known = False
 
-    def listed(self, vms):
+    def apply_vm_list(self, vms):
         """Take in a VM list.
 
         Parameters
@@ -130,7 +130,7 @@
             peers[name] = known
         self.peers = peers
 
-    def answered(self, name, answer, now):
+    def record_answer(self, name, answer, now):
         """Take in a probe's answer.
 
         Parameters
@@ -160,7 +160,7 @@
         peer.leaving = answer.leaving
         return self._set_health(peer, Health.ALIVE)
 
-    def missed(self, name):
+    def record_miss(self, name):
         """Take in that a probe went unanswered; True if health changed."""
         peer = self.peers.get(name)
         if peer is None:
@@ -176,7 +176,7 @@
         return changed
 
     def addresses(self):
-        """Give the other members' addresses by id; None if never listed.
+        """Return the other members' addresses by id; None if never listed.
 
         A router that never read the list must not take itself for the
         only one: it would be a majority of itself.
@@ -185,21 +185,21 @@
             return None
         return {vm.id: vm.address for vm in self.members.values()}
 
-    def alive(self):
-        """Give the peers that answer."""
+    def alive_peers(self):
+        """Return the peers that answer."""
         return [p for p in self.peers.values() if p.health is Health.ALIVE]
 
-    def not_dead(self):
-        """Give the peers that are worth telling something."""
+    def peers_not_dead(self):
+        """Return the peers that are worth telling something."""
         return [p for p in self.peers.values() if p.health is not Health.DEAD]
 
-    def takers(self):
-        """Give the ids of the routers that take callers, this one included.
+    def serving_routers(self):
+        """Return the ids of the routers that take callers, this one included.
 
         Members that aren't probed from here count as alive.
         """
         unprobed = set(self.members) - set(self.peers)
-        taking = [p.id for p in self.alive() if not p.leaving]
+        taking = [p.id for p in self.alive_peers() if not p.leaving]
         return [self.own_id, *sorted(unprobed), *taking]
 
 
