--- a/packages/gateway/ibisring_gateway/changes.py
+++ b/packages/gateway/ibisring_gateway/changes.py
@@ -52,7 +52,7 @@
             None if the change is based on another table.
         """
         if not self.is_table:
-            gone = [ports.Gone(name) for name in self.gone]
+            gone = [ports.Removed(name) for name in self.gone]
             return [*self.endpoints, *gone]
         if known is None or known.version != self.table.base:
             return None
@@ -80,15 +80,19 @@
     change = tablechanges.difference(known, page.items[-1])
     if change is None:
         return None
-    return Changes(True, before, page.position, page.changed, table=change)
+    return Changes(
+        True, before, page.position, page.newest_version, table=change
+    )
 
 
 def endpoint_changes(page, before):
     """Give what a page of endpoints brought to one who knew `before`."""
     last = {item.id: item for item in page.items}
-    gone = [n for n, item in last.items() if isinstance(item, ports.Gone)]
+    gone = [n for n, item in last.items() if isinstance(item, ports.Removed)]
     endpoints = [item for name, item in last.items() if name not in set(gone)]
-    return Changes(False, before, page.position, page.changed, endpoints, gone)
+    return Changes(
+        False, before, page.position, page.newest_version, endpoints, gone
+    )
 
 
 def pack(changes, copies, link):
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -79,7 +79,7 @@
     ----------
     view : view.View
     metrics : metrics.Metrics
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     on_change : callable
         Called after endpoints have changed.
     on_table : callable
@@ -254,7 +254,7 @@
         """Put or remove endpoints; True if something is new."""
         changed = False
         for item in items:
-            if isinstance(item, ports.Gone):
+            if isinstance(item, ports.Removed):
                 changed |= self.presence.remove(item.id, now)
             else:
                 changed |= self.presence.put(item, now)
@@ -287,7 +287,7 @@
             endpoints_known=True,
             known_since=before.known_since if before.endpoints_known else now,
         )
-        self.connections.forget(usable)
+        self.connections.close_except(usable)
         with self.view.lock:
             self.view.book.keep_only(usable)
             self.view.limits.keep_only(usable)
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -104,13 +104,13 @@
         While no chain has room the stall is waited out: the lost layers may
         be loaded elsewhere before the caller gives up.
         """
-        if self.selector.has_other(attempt, now):
+        if self.selector.has_alternative(attempt, now):
             attempt.break_off(attempts.End.SILENT)
         else:
             attempt.silent_at = now + AFTER_LOOK
 
     def _nothing_found(self, attempt, now):
-        if attempt.looks > MOST_LOOKS and self.selector.has_other(
+        if attempt.looks > MOST_LOOKS and self.selector.has_alternative(
             attempt, now
         ):
             attempt.break_off(attempts.End.SILENT)
@@ -214,7 +214,7 @@
         endpoints = self.view.snapshot.endpoints
         if not attempt.may_leave or not _gave_up(attempt, endpoints):
             return False
-        if not self.selector.has_other(attempt, self.clock()):
+        if not self.selector.has_alternative(attempt, self.clock()):
             return False
         logs.event(
             LOG,
@@ -227,7 +227,7 @@
 
     def _go_round(self, attempt, lost):
         """Move the request to other stages behind the same first one."""
-        stages = self.selector.repair(attempt, lost, self.clock())
+        stages = self.selector.replace_stages(attempt, lost, self.clock())
         if stages is None or stages == attempt.stages:
             logs.event(
                 LOG, 'no_way_round', id=attempt.request_id, lost=sorted(lost)
@@ -249,7 +249,7 @@
         if result not in (ports.OrderResult.BEGUN, ports.OrderResult.DONE):
             return False
         if attempt.end is None:
-            self.selector.move(attempt, stages)
+            self.selector.change_stages(attempt, stages)
             attempt.silent_at = self.clock() + AFTER_REPAIR
         return True
 
--- a/packages/gateway/ibisring_gateway/feeds.py
+++ b/packages/gateway/ibisring_gateway/feeds.py
@@ -59,7 +59,7 @@
         PlatformUnavailable
             There is no connection.
         PlatformAnswerLost
-        CallEnded
+        CallCancelled
             Another thread ended it.
         """
         self._connect()
@@ -107,7 +107,7 @@
         if self.is_ended:
             self.is_ended = False
             self._close()
-            raise ports.CallEnded('a new call begins')
+            raise ports.CallCancelled('a new call begins')
 
     def _close(self):
         self.conn.close()
--- a/packages/gateway/ibisring_gateway/following.py
+++ b/packages/gateway/ibisring_gateway/following.py
@@ -77,9 +77,9 @@
         try:
             if self.step():
                 self.pause(self.followers.change_pause())
-        except ports.CallEnded:
+        except ports.CallCancelled:
             LOG.debug('call_ended %s', self.name)
-        except ports.HistoryGone as error:
+        except ports.HistoryExpired as error:
             LOG.info('history_gone', extra={'facts': {'why': error.detail}})
             self.position = None
             self.followers.answered(self.name, True)
@@ -120,7 +120,7 @@
                 is_table=self.is_table,
                 position=page.position,
                 waited=self.clock() - self.begun_at,
-                changed=page.changed,
+                changed=page.newest_version,
             )
         )
         return changed
@@ -345,7 +345,7 @@
 
     def _end(self, names):
         for name in names:
-            self.members[name].source.end_call()
+            self.members[name].source.cancel_call()
 
 
 def _to_nobody(page, before, is_table):
--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -37,7 +37,7 @@
     ----------
     view : view.View
     codec : ports.Codec
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     watcher : watching.Watcher
     window : attempts.Window
     count_routers : callable
--- a/packages/gateway/ibisring_gateway/ports.py
+++ b/packages/gateway/ibisring_gateway/ports.py
@@ -6,9 +6,9 @@
 
 __all__ = [
     'Page',
-    'Gone',
-    'HistoryGone',
-    'CallEnded',
+    'Removed',
+    'HistoryExpired',
+    'CallCancelled',
     'Source',
     'LeaseTable',
     'RouterRow',
@@ -29,20 +29,20 @@
 from ibisring_records import exceptions
 
 
-class HistoryGone(exceptions.PlatformUnavailable):
+class HistoryExpired(exceptions.PlatformUnavailable):
     """The changes after a position are no longer kept."""
 
     code = 'history_gone'
     remedy = 'read everything again'
 
 
-class CallEnded(exceptions.PlatformAnswerLost):
+class CallCancelled(exceptions.PlatformAnswerLost):
     """This router itself ended a call, to make another one."""
 
     code = 'call_ended'
 
 
-class Gone(msgspec.Struct, frozen=True):
+class Removed(msgspec.Struct, frozen=True):
     """An entry was removed."""
 
     id: str
@@ -51,13 +51,14 @@
 class Page(msgspec.Struct):
     """Items read from a source, and the position to go on from.
 
-    Items are `routing.Endpoint`, `routing.RoutingTable` or `Gone`; `changed`
-    is the store's version of the newest of them, 0 without any.
+    Items are `routing.Endpoint`, `routing.RoutingTable` or `Removed`;
+    `newest_version` is the store's version of the newest of them, 0 without
+    any.
     """
 
     position: int
     items: list
-    changed: int = 0
+    newest_version: int = 0
 
 
 class Source(abc.ABC):
@@ -86,15 +87,15 @@
         ------
         PlatformUnavailable
         PlatformAnswerLost
-        HistoryGone
-        CallEnded
+        HistoryExpired
+        CallCancelled
         """
 
     @abc.abstractmethod
-    def end_call(self):
+    def cancel_call(self):
         """End the call under way, from another thread.
 
-        It raises `CallEnded`; if there is none, the next one may.
+        It raises `CallCancelled`; if there is none, the next one may.
         """
 
 
@@ -241,11 +242,12 @@
     """The head of an endpoint's answer, decoded.
 
     `refused` says that the endpoint did not run the request; `wrong_endpoint`
-    that another one has the address; `culprit` names the address of the
-    stage that a refusal is about.  `signed` says that the endpoint vouches
-    for the answer; `whole` that its end can be told from a lost connection.
+    that another one has the address; `refusing_address` names the address of
+    the stage that a refusal is about.  `signed` says that the endpoint vouches
+    for the answer; `delimited` that its end can be told from a lost
+    connection.
     `limit` is the rate in requests a second that the endpoint takes from all
-    routers together, None if it names none; `limit_damaged` that what it
+    routers together, None if it names none; `limit_invalid` that what it
     names is no rate.
     """
 
@@ -254,14 +256,14 @@
     request_id: str | None
     refused: bool
     wrong_endpoint: bool
-    whole: bool
-    culprit: str | None = None
+    delimited: bool
+    refusing_address: str | None = None
     load: int | None = None
     length: int | None = None
     encoded: bool = False
     signed: bool = False
     limit: float | None = None
-    limit_damaged: bool = False
+    limit_invalid: bool = False
 
 
 class Codec(abc.ABC):
--- a/packages/gateway/ibisring_gateway/process.py
+++ b/packages/gateway/ibisring_gateway/process.py
@@ -62,7 +62,7 @@
         self.view = view_module.make_view(
             settings.failure_domain, name=settings.router_id
         )
-        self.connections = upstream.make_connections()
+        self.connections = upstream.make_connection_pool()
         self.watcher = watching.make_watcher(self._on_silence)
         self.window = attempts.make_window(
             settings.repeat_window_s,
--- a/packages/gateway/ibisring_gateway/selecting.py
+++ b/packages/gateway/ibisring_gateway/selecting.py
@@ -20,8 +20,8 @@
 # Between events, a stage is suspected after this many usual gaps, within
 # these bounds in seconds; callers count a stream as late after 0.2.
 GAP_FACTOR = 2.0
-LEAST_GAP = 0.06
-MOST_GAP = 0.09
+MIN_EVENT_TIMEOUT = 0.06
+MAX_EVENT_TIMEOUT = 0.09
 # Share of the memory reserved for requests that they are taken to use when
 # no chain has room otherwise.
 SQUEEZE = 0.9
@@ -230,7 +230,7 @@
             holder.heads *= SQUEEZE_HEADS
         return chains.choose(holders, demand, model.layers, self._noise, heads)
 
-    def repair(self, attempt, lost, now):
+    def replace_stages(self, attempt, lost, now):
         """Give stages for an attempt without those that are lost.
 
         The first stage stays; the others keep what they run.
@@ -309,7 +309,7 @@
             else:
                 self.view.book.of(attempt.endpoint.id).active -= 1
 
-    def move(self, attempt, stages):
+    def change_stages(self, attempt, stages):
         """Count an attempt at other stages from now on."""
         with self.view.lock:
             self.view.book.release(attempt.stages, attempt.tokens)
@@ -338,13 +338,18 @@
         if attempt.events > 1:
             weight = 0.3 if attempt.events > 2 else 1.0
             attempt.pace += weight * (gap - attempt.pace)
-        wait = max(LEAST_GAP, attempt.pace * GAP_FACTOR)
-        attempt.silent_at = now + min(wait, max(MOST_GAP, 1.5 * attempt.pace))
+        wait = max(MIN_EVENT_TIMEOUT, attempt.pace * GAP_FACTOR)
+        attempt.silent_at = now + min(
+            wait, max(MAX_EVENT_TIMEOUT, 1.5 * attempt.pace)
+        )
 
     def culprit(self, attempt, answer):
         """Give the id of the endpoint that a refusal is about."""
         for stage in attempt.stages:
-            if answer.culprit and stage.address == answer.culprit:
+            if (
+                answer.refusing_address
+                and stage.address == answer.refusing_address
+            ):
                 return stage.endpoint
         return attempt.endpoint.id
 
@@ -388,7 +393,7 @@
             return LEAST_RETRY
         return MEAN_STREAM * (0.4 + 0.4 * self.rng.random())
 
-    def has_other(self, attempt, now):
+    def has_alternative(self, attempt, now):
         """Say whether another first engine has room for an attempt."""
         snapshot = self.view.snapshot
         service = attempt.endpoint.service
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -26,7 +26,7 @@
     ----------
     view : view.View
     codec : ports.Codec
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     selector : selecting.Selector
     screen : screening.Screen
 
@@ -178,7 +178,7 @@
             end = self._relay_stream(job, attempt, response, answer)
         else:
             end = self._relay_whole(job, attempt, response, answer)
-        if end is None and answer.whole and attempt.end is None:
+        if end is None and answer.delimited and attempt.end is None:
             self.connections.give_back(attempt.endpoint, conn)
         else:
             conn.close()
@@ -191,7 +191,7 @@
         names limits.
         """
         endpoint = attempt.endpoint
-        if answer.limit_damaged:
+        if answer.limit_invalid:
             logs.event(LOG, 'limit_unreadable', endpoint=endpoint.id)
             return
         if answer.wrong_endpoint or (answer.refused and answer.limit is None):
--- a/packages/gateway/ibisring_gateway/tests/builders.py
+++ b/packages/gateway/ibisring_gateway/tests/builders.py
@@ -71,22 +71,22 @@
 
     Attributes
     ----------
-    dead : set of str
+    unreachable : set of str
         Addresses that do not answer.
-    late : dict of str to float
+    delays : dict of str to float
         Seconds after which addresses answer.
-    placed, moved : list
+    placed, rerouted : list
         Orders received.
     result : ports.OrderResult
         Given to each order.
     """
 
     def __init__(self):
-        self.dead = set()
-        self.late = {}
-        self.asked = []
+        self.unreachable = set()
+        self.delays = {}
+        self.queried = []
         self.placed = []
-        self.moved = []
+        self.rerouted = []
         self.tokens = []
         self.result = ports.OrderResult.BEGUN
         self.busy = False
@@ -94,9 +94,9 @@
         self.holding = None
 
     def status(self, address, timeout):
-        self.asked.append(address)
-        late = self.late.get(address, 0.0)
-        if address in self.dead or late > timeout:
+        self.queried.append(address)
+        late = self.delays.get(address, 0.0)
+        if address in self.unreachable or late > timeout:
             raise exceptions.PlatformUnavailable(address)
         time.sleep(late)
         return ports.EngineStatus(
@@ -109,11 +109,11 @@
         return self.result
 
     def repath(self, endpoint, request_id, stages):
-        self.moved.append((endpoint.id, request_id, stages))
+        self.rerouted.append((endpoint.id, request_id, stages))
         return self.result
 
 
-def view_of(endpoints, table=None, **facts):
+def make_view(endpoints, table=None, **facts):
     """Give a view that knows some endpoints."""
     view = view_module.make_view('a')
     table = table or policybuilders.table()
--- a/packages/gateway/ibisring_gateway/tests/test_changes.py
+++ b/packages/gateway/ibisring_gateway/tests/test_changes.py
@@ -14,10 +14,10 @@
 
 def test_changes_of_endpoints_arrive_as_they_were_read():
     x, y = build.endpoint('x'), build.endpoint('y')
-    page = ports.Page(9, [x, ports.Gone('x'), y, ports.Gone('z')], 8)
+    page = ports.Page(9, [x, ports.Removed('x'), y, ports.Removed('z')], 8)
     found = _sent(changes.endpoint_changes(page, 5))
     assert (found.before, found.position, found.changed) == (5, 9, 8)
-    assert found.items(None) == [y, ports.Gone('x'), ports.Gone('z')]
+    assert found.items(None) == [y, ports.Removed('x'), ports.Removed('z')]
 
 
 def test_changes_of_the_table_arrive_as_they_were_read():
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -16,7 +16,7 @@
     actor = directory.Directory(
         view,
         builders.Metrics(),
-        upstream.make_connections(),
+        upstream.make_connection_pool(),
         lambda: changes.append(view.snapshot),
         lambda table: None,
     )
@@ -77,7 +77,7 @@
     actor, view, _ = _directory()
     both = [build.endpoint('x'), build.endpoint('y')]
     _endpoints(actor, both, position=5)
-    _endpoints(actor, [ports.Gone('x')], whole=False, position=6)
+    _endpoints(actor, [ports.Removed('x')], whole=False, position=6)
     _endpoints(actor, both, position=5, origin='router r2')
     assert set(view.snapshot.endpoints) == {'y'}
     _endpoints(actor, [], position=7, origin='router r2')
@@ -99,7 +99,7 @@
     _endpoints(actor, [leaving], position=6, origin='router r2')
     _endpoints(actor, [ready], whole, position=5)
     assert view.snapshot.endpoints['x'].state is routing.State.DRAINING
-    gone = [ports.Gone('x')]
+    gone = [ports.Removed('x')]
     _endpoints(actor, gone, whole=False, position=7)
     assert view.snapshot.endpoints == {}
 
@@ -157,7 +157,7 @@
     view.clock = clock
     _endpoints(actor, [build.endpoint('x'), build.endpoint('y')])
     actor.on_failed(directory.Failed('no answer'))
-    _endpoints(actor, [ports.Gone('x')], whole=False, position=2)
+    _endpoints(actor, [ports.Removed('x')], whole=False, position=2)
     clock.now += 1.0
     actor.on_tick(directory.Tick())
     assert 'x' in view.snapshot.endpoints
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -42,7 +42,7 @@
             _engine('t', 16, 24),
         ]
         self.endpoints = [*self.chain, *spares]
-        self.view = builders.view_of(self.endpoints, table)
+        self.view = builders.make_view(self.endpoints, table)
         self.watcher = _Watcher()
         self.selector = selecting.make_selector(self.view)
         self.doctor = doctor_module.make_doctor(
@@ -77,7 +77,7 @@
         fields.update(changes)
         found = dict(self.view.snapshot.endpoints)
         found[name] = routing.Endpoint(**fields)
-        self.view.snapshot = builders.view_of(list(found.values())).snapshot
+        self.view.snapshot = builders.make_view(list(found.values())).snapshot
 
     def settle(self):
         """Wait for the doctor's threads."""
@@ -96,21 +96,21 @@
 
 
 def test_a_lost_stage_is_gone_round_behind_the_same_head(scene):
-    scene.engines.dead.add('m:1')
+    scene.engines.unreachable.add('m:1')
     scene.doctor.silent(scene.attempt)
     scene.settle()
     assert scene.attempt.end is None
     assert _names(scene.attempt.stages) == ['h', 'm2', 't']
-    assert scene.engines.moved[0][:2] == ('h', 'r1')
+    assert scene.engines.rerouted[0][:2] == ('h', 'r1')
     assert scene.view.book.is_dead('m')
 
 
 def test_a_lost_head_ends_the_attempt(scene):
-    scene.engines.dead.add('h:1')
+    scene.engines.unreachable.add('h:1')
     scene.doctor.silent(scene.attempt)
     scene.settle()
     assert scene.attempt.end is attempts.End.SILENT
-    assert scene.engines.moved == []
+    assert scene.engines.rerouted == []
 
 
 def test_a_stream_is_not_cut_while_no_other_chain_has_room():
@@ -121,7 +121,7 @@
     Cause: the end came before the question who would go on.
     """
     scene = Scene()
-    scene.engines.dead.add('m:1')
+    scene.engines.unreachable.add('m:1')
     scene.doctor.silent(scene.attempt)
     scene.settle()
     assert scene.attempt.end is None
@@ -134,7 +134,7 @@
     other.last_at = time.monotonic()
     scene.doctor.silent(scene.attempt)
     scene.settle()
-    assert scene.engines.asked == []
+    assert scene.engines.queried == []
 
 
 def test_an_event_that_was_under_way_vouches_for_nothing(scene):
@@ -144,7 +144,7 @@
     requests; the first look asks nobody, and the next comes 0.1 s later.
     Cause: any later event vouched for all stages of its chain.
     """
-    scene.engines.dead.add('m:1')
+    scene.engines.unreachable.add('m:1')
     scene.attempt.pace = 0.04
     scene.attempt.last_at = time.monotonic() - 0.08
     other = scene.new_attempt('r2')
@@ -161,19 +161,19 @@
     who wait for answers take all threads, and nobody asks.
     Cause: waiting and asking shared one pool of threads.
     """
-    scene.engines.dead.add('m:1')
+    scene.engines.unreachable.add('m:1')
     others = [scene.new_attempt(f'q{n}') for n in range(40)]
     for attempt in others:
         scene.doctor.silent(attempt)
     scene.settle()
     assert not scene.view.book.is_dead('t')
-    assert scene.engines.asked.count('t:1') <= 4
+    assert scene.engines.queried.count('t:1') <= 4
     moved = [a for a in others if _names(a.stages) == ['h', 'm2', 't']]
     assert len(moved) == len(others)
 
 
 def test_when_all_seem_lost_the_router_doubts_itself(scene):
-    scene.engines.dead.update(('h:1', 'm:1', 't:1'))
+    scene.engines.unreachable.update(('h:1', 'm:1', 't:1'))
     scene.doctor.silent(scene.attempt)
     scene.settle()
     assert not scene.view.book.is_dead('m')
@@ -203,7 +203,7 @@
         _engine('m2', 8, 16, card='small'), _engine('t2', 16, 24, card='small')
     )
     scene.replace('t', holding=None)
-    scene.engines.dead.add('m:1')
+    scene.engines.unreachable.add('m:1')
     scene.doctor.silent(scene.attempt)
     scene.settle()
     assert _names(scene.attempt.stages) == ['h', 'm2', 't2']
@@ -271,7 +271,7 @@
     that wait 200 ms are moved off it; it is asked again.
     Cause: it had to answer that within the same 35 ms.
     """
-    scene.engines.late['t:1'] = 0.05
+    scene.engines.delays['t:1'] = 0.05
     scene.view.book.unreachable('t', time.monotonic() - 10.0)
     scene.doctor.look_round()
     scene.settle()
@@ -287,7 +287,7 @@
     Cause: the limit was 35 ms whatever answers took.
     """
     for name in ('h:1', 'm:1', 't:1', 'm2:1'):
-        scene.engines.late[name] = 0.05
+        scene.engines.delays[name] = 0.05
     now = time.monotonic()
     for name in ('h', 'm', 't', 'm2'):
         scene.view.book.unreachable(name, now - 10.0)
--- a/packages/gateway/ibisring_gateway/tests/test_following.py
+++ b/packages/gateway/ibisring_gateway/tests/test_following.py
@@ -35,7 +35,7 @@
     def changes(self, position, wait):
         return self._ask(wait)
 
-    def end_call(self):
+    def cancel_call(self):
         self.ended += 1
 
 
@@ -88,7 +88,7 @@
     followers, told = _followers()
     table = followers.members['table']
     table.step()
-    table.source.errors = [ports.CallEnded('a new one begins')]
+    table.source.errors = [ports.CallCancelled('a new one begins')]
     table._follow()
     assert len(told) == 1
     assert not followers.polling.in_trouble('table')
@@ -98,7 +98,7 @@
     followers, told = _followers()
     table = followers.members['table']
     table.step()
-    table.source.errors = [ports.HistoryGone('too old')]
+    table.source.errors = [ports.HistoryExpired('too old')]
     table._follow()
     table._follow()
     assert table.source.asked[-1] == 'all' and len(told) == 2
--- a/packages/gateway/ibisring_gateway/tests/test_forwarding.py
+++ b/packages/gateway/ibisring_gateway/tests/test_forwarding.py
@@ -31,7 +31,7 @@
 
 
 def _refuse(begun):
-    view = builders.view_of([])
+    view = builders.make_view([])
     forwarder = forwarding.make_forwarder(
         view, _Codec(), None, None, None, lambda: 1, builders.Metrics(), None
     )
@@ -66,7 +66,7 @@
     the store.
     """
     table = build.table(accounts=(routing.Account('acme', ('k1',)),))
-    view = builders.view_of([], table, store_lost_at=10.0)
+    view = builders.make_view([], table, store_lost_at=10.0)
     forwarder = forwarding.make_forwarder(
         view, _Codec(), None, None, None, lambda: 1, builders.Metrics(), None
     )
--- a/packages/gateway/ibisring_gateway/tests/test_gossip.py
+++ b/packages/gateway/ibisring_gateway/tests/test_gossip.py
@@ -87,7 +87,7 @@
     change when it is told.
     Cause: versions of what was read and of what is in force in one datagram.
     """
-    view = builders.view_of([])
+    view = builders.make_view([])
     teller = _gossip(view)
     for follower in teller.peers.followers.members.values():
         follower.position = view.snapshot.position + 100
--- a/packages/gateway/ibisring_gateway/tests/test_liveness.py
+++ b/packages/gateway/ibisring_gateway/tests/test_liveness.py
@@ -55,5 +55,5 @@
         'e', 0, 8, address=_address(listener), started=7
     )
     engines = builders.Engines()
-    engines.dead.add(engine.address)
+    engines.unreachable.add(engine.address)
     assert liveness.make_prober(engines).has_ended(engine) is None
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -45,7 +45,7 @@
         store='127.0.0.1:3',
         peer_port=0,
     )
-    view = view or builders.view_of([])
+    view = view or builders.make_view([])
     followers = following.make_followers(polling.Fleet, _reads)
     for name in (peers.TABLE, peers.ENDPOINTS):
         followers.add(name, None, name == peers.TABLE, [].append)
--- a/packages/gateway/ibisring_gateway/tests/test_placing.py
+++ b/packages/gateway/ibisring_gateway/tests/test_placing.py
@@ -57,7 +57,7 @@
 
 def test_a_good_layout_needs_neither_lease_nor_order():
     leases, engines = builders.Leases(), builders.Engines()
-    placer = _placer(builders.view_of(_endpoints()), leases, engines)
+    placer = _placer(builders.make_view(_endpoints()), leases, engines)
     _look(placer)
     assert (leases.reads, engines.placed) == (0, [])
 
@@ -65,7 +65,7 @@
 def test_lost_layers_are_ordered_by_count_once():
     engines = builders.Engines()
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     _look(placer, times=5)
     names = [name for name, _, _ in engines.placed]
     assert names and len(names) == len(set(names))
@@ -82,7 +82,7 @@
     leases.row = ordering.LeaseRow('r2', 1, 1)
     leases.version = 1
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), leases, engines)
+    placer = _placer(builders.make_view(left), leases, engines)
     _look(placer)
     assert engines.placed == []
 
@@ -90,7 +90,7 @@
 def test_a_store_that_is_away_orders_nothing():
     leases, engines = builders.Leases(), builders.Engines()
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), leases, engines)
+    placer = _placer(builders.make_view(left), leases, engines)
     for error in (
         exceptions.PlatformUnavailable('503'),
         exceptions.PlatformAnswerLost('timeout'),
@@ -103,7 +103,7 @@
 def _placer_without_store(touches, told=None):
     engines = builders.Engines()
     left = [e for e in _endpoints() if e.id != LOST]
-    view = builders.view_of(left, store_lost_at=-100.0)
+    view = builders.make_view(left, store_lost_at=-100.0)
     placer = _placer(view, engines=engines, touches=touches, told=told)
     placer.leases.fails = exceptions.PlatformUnavailable('503')
     return placer, engines
@@ -154,12 +154,12 @@
     engines = builders.Engines()
     few = _endpoints()[-8:]
     now = time.monotonic()
-    view = builders.view_of(few, known_since=now)
+    view = builders.make_view(few, known_since=now)
     placer = _placer(view, engines=engines)
     _look(placer)
     assert engines.placed == []
     grown = now - presence.RETURN_GRACE
-    placer.view = builders.view_of(few, known_since=grown)
+    placer.view = builders.make_view(few, known_since=grown)
     _look(placer)
     assert engines.placed
 
@@ -173,7 +173,7 @@
     """
     engines, leases = builders.Engines(), builders.Leases()
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), leases, engines)
+    placer = _placer(builders.make_view(left), leases, engines)
     leases.fails = exceptions.PlatformUnavailable('503')
     _look(placer)
     assert engines.placed == []
@@ -204,15 +204,15 @@
     engines = builders.Engines()
     engines.busy = True
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     _look(placer)
     assert engines.placed == []
-    assert engines.asked
+    assert engines.queried
 
 
 def test_an_engine_that_is_believed_lost_is_planned_without():
     engines = builders.Engines()
-    view = builders.view_of(_endpoints())
+    view = builders.make_view(_endpoints())
     placer = _placer(view, engines=engines)
     view.book.of(LOST).dead = True
     view.book.of(LOST).dead_at = -100.0
@@ -230,7 +230,7 @@
     Cause: it counted as a holder of its layers.
     """
     engines = builders.Engines()
-    view = builders.view_of(_endpoints())
+    view = builders.make_view(_endpoints())
     placer = _placer(view, engines=engines)
     now = time.monotonic()
     for at in (now - 1.4, now - 1.05, now - 0.4):
@@ -249,7 +249,7 @@
     engines = builders.Engines()
     engines.result = ports.OrderResult.UNKNOWN
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     _look(placer, times=5)
     names = [name for name, _, _ in engines.placed]
     assert names and len(names) == len(set(names))
@@ -264,7 +264,7 @@
     engines = builders.Engines()
     engines.result = ports.OrderResult.STALE
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     placer.turn.read_again_at = -100.0
     placer.on_look(placing.Look())
     # Orders of one look go out together; none follows them.
--- a/packages/gateway/ibisring_gateway/tests/test_screening.py
+++ b/packages/gateway/ibisring_gateway/tests/test_screening.py
@@ -26,7 +26,7 @@
 
 
 def _screen(has_ended=True):
-    view = builders.view_of([])
+    view = builders.make_view([])
     return screening.make_screen(view, _Prober(has_ended), builders.Metrics())
 
 
--- a/packages/gateway/ibisring_gateway/tests/test_selecting.py
+++ b/packages/gateway/ibisring_gateway/tests/test_selecting.py
@@ -15,7 +15,7 @@
     endpoints = [
         build.endpoint(name, address=f'{name}:1', slots=6) for name in names
     ]
-    return builders.view_of(endpoints)
+    return builders.make_view(endpoints)
 
 
 def _chain_view(*heads):
@@ -26,7 +26,7 @@
     engines.append(
         build.held_endpoint('tail', 40, 80, address='tail:1', card='big')
     )
-    return builders.view_of(engines)
+    return builders.make_view(engines)
 
 
 def _job(view, service, digest=OTHER, **changes):
--- a/packages/gateway/ibisring_gateway/tests/test_watching.py
+++ b/packages/gateway/ibisring_gateway/tests/test_watching.py
@@ -33,7 +33,7 @@
 
 def test_it_sleeps_until_something_is_due():
     """Gain: 100 wake-ups a second become some 15, at one stream a router."""
-    assert watching.MOST_SLEEP < selecting.LEAST_GAP
+    assert watching.MOST_SLEEP < selecting.MIN_EVENT_TIMEOUT
     watcher, clock, _ = _watcher()
     assert watcher.sleep(clock()) == watching.IDLE_SLEEP
     attempt, ours, _ = _attempt(watcher, clock)
--- a/packages/gateway/ibisring_gateway/tests/virtualfleet.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualfleet.py
@@ -120,7 +120,7 @@
         self.directory = directory.Directory(
             self.view,
             builders.Metrics(),
-            upstream.make_connections(),
+            upstream.make_connection_pool(),
             lambda: None,
             lambda table: None,
         )
--- a/packages/gateway/ibisring_gateway/tests/virtualstore.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualstore.py
@@ -178,9 +178,9 @@
     def changes(self, position, wait):
         return self._run(position, wait)
 
-    def end_call(self):
+    def cancel_call(self):
         if self.call is not None:
-            self.call.fail(ports.CallEnded('a new one begins'))
+            self.call.fail(ports.CallCancelled('a new one begins'))
 
     def _run(self, after, wait):
         call = self.store.begin(self.number, self.name, after, wait)
--- a/packages/gateway/ibisring_gateway/upstream.py
+++ b/packages/gateway/ibisring_gateway/upstream.py
@@ -1,6 +1,6 @@
 """Connections to endpoints over urllib3, one request on each at a time."""
 
-__all__ = ['Connections', 'Failed', 'make_connections', 'read_piece']
+__all__ = ['ConnectionPool', 'Failed', 'make_connection_pool', 'read_piece']
 
 import logging
 import select
@@ -44,7 +44,7 @@
         self.sent = sent
 
 
-class Connections:
+class ConnectionPool:
     """Makes and keeps connections by endpoint.
 
     Parameters
@@ -110,7 +110,7 @@
                 return
         conn.close()
 
-    def forget(self, keep):
+    def close_except(self, keep):
         """Close the connections of endpoints that are gone."""
         with self.lock:
             gone = [key for key in self.kept if key[0] not in keep]
@@ -186,6 +186,6 @@
         raise Failed(f'{type(error).__name__}: {error}', True) from error
 
 
-def make_connections(clock=time.monotonic):
-    """Make `Connections` without any open."""
-    return Connections(clock)
+def make_connection_pool(clock=time.monotonic):
+    """Make a `ConnectionPool` without open connections."""
+    return ConnectionPool(clock)
