--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -79,7 +79,7 @@
     ----------
     view : view.View
     metrics : metrics.Metrics
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     on_change : callable
         Called after endpoints have changed.
     on_table : callable
@@ -256,7 +256,7 @@
         """Put or remove endpoints; True if something is new."""
         changed = False
         for item in items:
-            if isinstance(item, ports.Gone):
+            if isinstance(item, ports.Removed):
                 changed |= self.presence.remove(item.id, now)
             else:
                 changed |= self.presence.put(item, now)
@@ -289,7 +289,7 @@
             endpoints_known=True,
             known_since=before.known_since if before.endpoints_known else now,
         )
-        self.connections.forget(usable)
+        self.connections.close_except(usable)
         with self.view.lock:
             self.view.book.retain(usable)
             self.view.limits.keep_only(usable)
