--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -1,6 +1,6 @@
 """The actor that holds which endpoints and which configuration are known."""
 
-__all__ = ['Read', 'Failed', 'Confirmed', 'Learnt', 'Tick', 'Directory']
+__all__ = ['Read', 'Failed', 'Confirmed', 'HoldingReport', 'Tick', 'Directory']
 
 import logging
 
@@ -60,7 +60,7 @@
     waited: float = 0.0
 
 
-class Learnt(msgspec.Struct):
+class HoldingReport(msgspec.Struct):
     """An engine said what it holds, while the store is away."""
 
     id: str
@@ -101,7 +101,7 @@
             Read: self.on_read,
             Failed: self.on_failed,
             Confirmed: self.on_confirmed,
-            Learnt: self.on_learnt,
+            HoldingReport: self.on_holding_report,
             Tick: self.on_tick,
         }
 
@@ -122,7 +122,7 @@
         if message.origin == STORE:
             self._store_answered(message, now)
         if message.is_table:
-            self._replace(table_at=now - message.age)
+            self._replace(table_read_at=now - message.age)
             for table in message.items:
                 self._apply_table(table, message.origin)
             known = max(self.view.snapshot.table_position, message.position)
@@ -137,11 +137,12 @@
         if message.table == before.version:
             known = max(before.table_position, message.table_position)
             self._replace(
-                table_at=max(before.table_at, read_at), table_position=known
+                table_read_at=max(before.table_read_at, read_at),
+                table_position=known,
             )
         if message.changed <= before.position:
             self._replace(
-                endpoints_at=max(before.endpoints_at, read_at),
+                endpoints_read_at=max(before.endpoints_read_at, read_at),
                 position=max(before.position, message.position),
             )
 
@@ -161,7 +162,11 @@
         long before the other.
         """
         before = self.view.snapshot
-        read_at = before.table_at if message.is_table else before.endpoints_at
+        read_at = (
+            before.table_read_at
+            if message.is_table
+            else before.endpoints_read_at
+        )
         logs.event(
             LOG,
             name,
@@ -180,16 +185,16 @@
         now = self.view.clock()
         if self.presence.expire(now):
             before = self.view.snapshot
-            self._publish(now, 'time', before.endpoints_at, before)
+            self._publish(now, 'time', before.endpoints_read_at, before)
 
-    def on_learnt(self, message):
+    def on_holding_report(self, message):
         """Believe an engine of itself while its entry can't change."""
         if self.view.store_lost_at is None:
             return
         if self.presence.amend(message.id, message.started, message.holding):
             before = self.view.snapshot
             self._publish(
-                self.view.clock(), 'engine', before.endpoints_at, before
+                self.view.clock(), 'engine', before.endpoints_read_at, before
             )
 
     def _apply_table(self, table, origin):
@@ -245,7 +250,7 @@
         changed |= self.presence.expire(now)
         if not changed and self.view.snapshot.endpoints_known:
             self._replace(
-                endpoints_at=now - message.age, position=message.position
+                endpoints_read_at=now - message.age, position=message.position
             )
             return
         self._publish(now, message.origin, now - message.age, message)
@@ -281,7 +286,7 @@
         self._replace(
             endpoints=usable,
             by_service=by_service,
-            endpoints_at=read_at,
+            endpoints_read_at=read_at,
             position=known.position,
             changed=known.changed or known.position,
             endpoints_known=True,
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -1,6 +1,6 @@
 """Finding out which stage of a silent request is lost, and going round it."""
 
-__all__ = ['Doctor', 'make_doctor']
+__all__ = ['StallHandler', 'make_stall_handler']
 
 import concurrent.futures
 import logging
@@ -29,7 +29,7 @@
 MOST_MOVES = 3
 
 
-class Doctor:
+class StallHandler:
     """Looks at the stages of silent attempts.
 
     Parameters
@@ -56,7 +56,7 @@
         self.pool.shutdown(wait=False, cancel_futures=True)
         self.asker.stop()
 
-    def silent(self, attempt):
+    def handle(self, attempt):
         """Take an attempt on; returns at once."""
         self.pool.submit(self._examine, attempt)
 
@@ -72,7 +72,7 @@
             attempt.looking = False
 
     def _examine_chain(self, attempt):
-        attempt.looks += 1
+        attempt.checks += 1
         lost = self._find_lost(attempt)
         now = self.clock()
         if attempt.end is not None:
@@ -85,7 +85,7 @@
             'stages_lost',
             id=attempt.request_id,
             lost=sorted(lost),
-            silent_ms=round((now - attempt.last_at) * 1000.0),
+            silent_ms=round((now - attempt.last_event_at) * 1000.0),
             events=attempt.events,
         )
         if attempt.endpoint.id in lost:
@@ -107,16 +107,16 @@
         if self.selector.has_other(attempt, now):
             attempt.break_off(attempts.End.SILENT)
         else:
-            attempt.silent_at = now + AFTER_LOOK
+            attempt.check_at = now + AFTER_LOOK
 
     def _nothing_found(self, attempt, now):
-        if attempt.looks > MOST_LOOKS and self.selector.has_other(
+        if attempt.checks > MOST_LOOKS and self.selector.has_other(
             attempt, now
         ):
             attempt.break_off(attempts.End.SILENT)
             return
-        looks = min(MOST_LOOKS, attempt.looks)
-        attempt.silent_at = now + AFTER_LOOK * 2 ** (looks - 1)
+        looks = min(MOST_LOOKS, attempt.checks)
+        attempt.check_at = now + AFTER_LOOK * 2 ** (looks - 1)
 
     def _find_lost(self, attempt):
         """Give the ids of stages that do not answer."""
@@ -155,14 +155,20 @@
         passage from a stage to here, so one that came right after the last
         of this request says nothing of what happened since.
         """
-        since = max(attempt.last_at + attempt.pace, self.clock() - VOUCHES)
+        since = max(
+            attempt.last_event_at + attempt.mean_gap, self.clock() - VOUCHES
+        )
         found = set()
         for other in self.watcher.all():
-            if other is not attempt and other.events and other.last_at > since:
+            if (
+                other is not attempt
+                and other.events
+                and other.last_event_at > since
+            ):
                 found.update(stage.endpoint for stage in other.stages)
         return found
 
-    def look_round(self):
+    def run_checks(self):
         """Move requests off stages that are leaving; ask the dead again.
 
         Called now and then.  An engine that leaves, or gives layers up,
@@ -212,7 +218,7 @@
         One whose engine is about to end may finish there instead.
         """
         endpoints = self.view.snapshot.endpoints
-        if not attempt.may_leave or not _gave_up(attempt, endpoints):
+        if not attempt.may_change_endpoint or not _gave_up(attempt, endpoints):
             return False
         if not self.selector.has_other(attempt, self.clock()):
             return False
@@ -244,13 +250,13 @@
             lost=sorted(lost),
             stages=[f'{s.endpoint}={s.first}-{s.end}' for s in stages],
             result=result.value,
-            silent_ms=round((self.clock() - attempt.last_at) * 1000.0),
+            silent_ms=round((self.clock() - attempt.last_event_at) * 1000.0),
         )
         if result not in (ports.OrderResult.BEGUN, ports.OrderResult.DONE):
             return False
         if attempt.end is None:
             self.selector.move(attempt, stages)
-            attempt.silent_at = self.clock() + AFTER_REPAIR
+            attempt.check_at = self.clock() + AFTER_REPAIR
         return True
 
 
@@ -277,6 +283,6 @@
     return found
 
 
-def make_doctor(view, engines, selector, watcher, metrics):
-    """Make a `Doctor`."""
-    return Doctor(view, engines, selector, watcher, metrics)
+def make_stall_handler(view, engines, selector, watcher, metrics):
+    """Make a `StallHandler`."""
+    return StallHandler(view, engines, selector, watcher, metrics)
--- a/packages/gateway/ibisring_gateway/feeds.py
+++ b/packages/gateway/ibisring_gateway/feeds.py
@@ -24,7 +24,8 @@
     """One connection, for one call after the other.
 
     A call that the other side will never answer would hold its thread until
-    its timeout; `end_call` gives the thread back as soon as that is suspected.
+    its timeout; `cancel_call` gives the thread back as soon as that is
+    suspected.
 
     Parameters
     ----------
@@ -75,7 +76,7 @@
             self._check_ended()
             raise exceptions.PlatformAnswerLost(str(error)) from error
 
-    def end_call(self):
+    def cancel_call(self):
         """End the call under way, or else the next one.
 
         Shutting the socket down is what wakes a thread that is blocked in a
--- a/packages/gateway/ibisring_gateway/following.py
+++ b/packages/gateway/ibisring_gateway/following.py
@@ -316,7 +316,7 @@
             ended = self.polling.failed(name, self.clock(), fleet)
         self._end(ended)
 
-    def trouble(self):
+    def suspect_outage(self):
         """Note a sign that the store may not answer, and ask anew."""
         with self.lock:
             ended = self.polling.trouble(self.clock())
--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -130,7 +130,9 @@
             why=error.detail,
             retry_after=error.retry_after,
             table=snapshot.version,
-            table_age_ms=round((self.clock() - snapshot.table_at) * SECOND_MS),
+            table_age_ms=round(
+                (self.clock() - snapshot.table_read_at) * SECOND_MS
+            ),
             **error.facts,
         )
 
@@ -191,7 +193,8 @@
             chain=job.chain,
             table=self.view.snapshot.version,
             endpoints_age_ms=round(
-                (self.clock() - self.view.snapshot.endpoints_at) * SECOND_MS
+                (self.clock() - self.view.snapshot.endpoints_read_at)
+                * SECOND_MS
             ),
         )
 
@@ -302,7 +305,7 @@
             job.request.id, choice.endpoint, choice.stages, job.deadline
         )
         attempt.tokens = choice.tokens
-        attempt.may_leave = self._may_leave(job, choice.endpoint)
+        attempt.may_change_endpoint = self._may_leave(job, choice.endpoint)
         job.chain = _chain_text(choice.stages)
         self.selector.reserve(attempt)
         self.screen.begin(job, attempt)
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -110,13 +110,13 @@
     view : view.View
     peers : peers.Peers
     tell : callable
-        Takes `directory.Learnt` messages.
+        Takes `directory.HoldingReport` messages.
     sock : socket.socket
         Bound, for datagrams.
 
     Attributes
     ----------
-    bytes_told, bytes_heard : int
+    bytes_sent, bytes_received : int
         In datagrams, without their headers.
     """
 
@@ -126,8 +126,8 @@
         self.peers = peers
         self.tell = tell
         self.rng = random.Random()
-        self.bytes_told = 0
-        self.bytes_heard = 0
+        self.bytes_sent = 0
+        self.bytes_received = 0
         self.pace = telling.make_pace()
         self.urgent = telling.make_pace()
         self.rounds = telling.make_rounds(self.rng)
@@ -152,7 +152,7 @@
         self.wake.set()
         self.socket.close()
 
-    def hurry(self):
+    def request_send(self):
         """Look at once whether there is something to tell."""
         self.wake.set()
 
@@ -180,7 +180,7 @@
             suspects = self.view.suspects.to_tell(now, self.rng, share)
             limits = self.view.limits.to_tell(now, self.rng, share)
         snapshot = self.view.snapshot
-        read_at = min(snapshot.table_at, snapshot.endpoints_at)
+        read_at = min(snapshot.table_read_at, snapshot.endpoints_read_at)
         own = self.peers.own_standing()
         return Told(
             self.settings.router_id,
@@ -189,9 +189,9 @@
             changed=snapshot.changed,
             table=snapshot.version,
             slow=slow,
-            touch=self.view.store_touch,
+            touch=self.view.store_status,
             term=self.view.term,
-            held=self.view.told_holdings(now),
+            held=self.view.holdings_to_send(now),
             full=full,
             domain=self.settings.failure_domain,
             lost_ms=self._lost_ms(now),
@@ -258,7 +258,7 @@
         for row in rows:
             host, _, port = row.address.rpartition(':')
             self.socket.sendto(data, (host, int(port)))
-            self.bytes_told += len(data)
+            self.bytes_sent += len(data)
 
     def tell_changes(self, page, before, is_table):
         """Tell the routers of this domain what has just been read.
@@ -307,7 +307,7 @@
         while not self.stopped.is_set():
             try:
                 data, source = self.socket.recvfrom(MOST_BYTES + 1)
-                self.bytes_heard += len(data)
+                self.bytes_received += len(data)
                 told = msgspec.msgpack.decode(data, type=Told)
             except OSError as error:
                 LOG.debug('gossip not received: %s', error)
@@ -349,7 +349,7 @@
         self.view.term = max(self.view.term, told.term)
         for name, (started, first, end) in told.held.items():
             held = routing.Holding(first, end) if end > first else None
-            self.tell(directory.Learnt(name, started, held))
+            self.tell(directory.HoldingReport(name, started, held))
         snapshot = self.view.snapshot
         behind = told.changed > max(snapshot.changed, snapshot.position)
         if behind or told.table > snapshot.version:
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -110,8 +110,8 @@
             table = snapshot.index.table
         return State(
             version=snapshot.version,
-            table_age=now - snapshot.table_at,
-            endpoints_age=now - snapshot.endpoints_at,
+            table_age=now - snapshot.table_read_at,
+            endpoints_age=now - snapshot.endpoints_read_at,
             position=snapshot.position,
             table=table,
             endpoints=list(snapshot.endpoints.values()),
@@ -152,7 +152,7 @@
         row = self.known.get(name)
         return row is not None and row.domain == self.settings.failure_domain
 
-    def running(self, now):
+    def running_count(self, now):
         """Give how many routers seem to run, this one included."""
         return sum(self.hearing.counts(now).values())
 
@@ -190,7 +190,7 @@
             logs.event(LOG, 'store_role', role=found.name.lower())
             self.followers.role_changed(found)
 
-    def place(self):
+    def polling_slot(self):
         """Give this router's place among those that call the store.
 
         Returns
@@ -208,7 +208,7 @@
         )
         return sharing.place(self.settings.failure_domain, len(before), counts)
 
-    def store_touches(self, now):
+    def store_statuses(self, now):
         """Give what the routers heard lately know of the store.
 
         Returns
@@ -217,13 +217,13 @@
         """
         return self.hearing.touches(now)
 
-    def fleet(self, now):
+    def max_routers(self, now):
         """Give how many routers there may be, this one included.
 
         One that has just started has heard nobody yet, but has read the
         rows of those that ever ran.
         """
-        return max(self.running(now), len(self.others()) + 1)
+        return max(self.running_count(now), len(self.others()) + 1)
 
     def run(self):
         """Ask others, when that is due, until stopped."""
@@ -244,7 +244,7 @@
         position = max(snapshot.changed, snapshot.position)
         known.caught_up({TABLE: snapshot.version, ENDPOINTS: position})
         is_told = self.current_role is sharing.Role.TOLD
-        callers = self.place().callers
+        callers = self.polling_slot().callers
         if known.is_due(now, self._age(now), callers, is_told):
             asks_store = is_told and not known.asked_store
             known.asked(now, asks_store)
@@ -268,10 +268,10 @@
     def _age(self, now):
         """Give the seconds since the older of both tables was read."""
         snapshot = self.view.snapshot
-        return now - min(snapshot.table_at, snapshot.endpoints_at)
+        return now - min(snapshot.table_read_at, snapshot.endpoints_read_at)
 
     def _list_if_alone(self, now):
-        if self.running(now) > 1 and self.written:
+        if self.running_count(now) > 1 and self.written:
             self.list_at = now + ALONE_AFTER
             return
         self._list(now)
--- a/packages/gateway/ibisring_gateway/placing.py
+++ b/packages/gateway/ibisring_gateway/placing.py
@@ -49,7 +49,7 @@
     store_touches : callable
         Gives what other routers told lately of the store, by name.
     tell : callable
-        Takes `directory.Learnt` messages.
+        Takes `directory.HoldingReport` messages.
     on_trouble : callable
         Called when the store does not answer.
     """
@@ -154,13 +154,15 @@
         ):
             if status is None:
                 continue
-            self.view.learnt[endpoint.id] = (
+            self.view.reported_holdings[endpoint.id] = (
                 self.view.clock(),
                 status.started,
                 status.holding,
             )
             self.tell_directory(
-                directory.Learnt(endpoint.id, status.started, status.holding)
+                directory.HoldingReport(
+                    endpoint.id, status.started, status.holding
+                )
             )
 
     def _tell_missing(self, service, staying):
--- a/packages/gateway/ibisring_gateway/process.py
+++ b/packages/gateway/ibisring_gateway/process.py
@@ -84,7 +84,7 @@
             self.metrics,
             self.screen,
         )
-        self.doctor = doctor.make_doctor(
+        self.doctor = doctor.make_stall_handler(
             self.view,
             installation.engines,
             self.forwarder.selector,
@@ -102,19 +102,19 @@
         self.is_ending = False
 
     def _on_silence(self, attempt):
-        self.doctor.silent(attempt)
+        self.doctor.handle(attempt)
 
     def _count_routers(self):
-        return self.peers.fleet(time.monotonic())
+        return self.peers.max_routers(time.monotonic())
 
     def _place(self):
-        return self.peers.place()
+        return self.peers.polling_slot()
 
     def _role(self):
         return self.peers.role()
 
     def _store_touches(self):
-        return self.peers.store_touches(time.monotonic())
+        return self.peers.store_statuses(time.monotonic())
 
     def start(self):
         """Start listeners, actors and threads."""
@@ -127,7 +127,7 @@
             self.metrics,
             self._store_touches,
             lambda message: self.directory.tell(message),
-            self.followers.trouble,
+            self.followers.suspect_outage,
         )
         self._listen()
         self.directory = directory.Directory.start(
@@ -146,8 +146,8 @@
         followers.add('endpoints', self.installation.endpoints, False, tell)
         self.parts = [followers.start(), self.peers.start()]
         self.gossip = gossip.make_gossip(settings, self.view, self.peers, tell)
-        self.screen.on_found = self.gossip.hurry
-        self.forwarder.sender.on_limit = self.gossip.hurry
+        self.screen.on_found = self.gossip.request_send
+        self.forwarder.sender.on_limit = self.gossip.request_send
         self.parts.append(self.gossip.start())
         self.looking = periodic.start(LOOK_SECONDS, self._look_round)
         logs.event(LOG, 'started', router=settings.router_id)
@@ -178,7 +178,7 @@
     def _look_round(self):
         self._look()
         self.directory.tell(directory.Tick())
-        self.doctor.look_round()
+        self.doctor.run_checks()
 
     def serve_ready(self, call):
         """Say whether new connections may come here."""
@@ -199,11 +199,13 @@
         """Give counters and quantiles as text."""
         counters = self.metrics.counters
         counters['log_lines_dropped'] = self.log_writer.dropped
-        counters['gossip_bytes_told'] = self.gossip.bytes_told
-        counters['gossip_bytes_heard'] = self.gossip.bytes_heard
+        counters['gossip_bytes_told'] = self.gossip.bytes_sent
+        counters['gossip_bytes_heard'] = self.gossip.bytes_received
         with self.view.lock:
             counters['suspects'] = len(self.view.suspects.by_digest)
-        counters['routers_running'] = self.peers.running(time.monotonic())
+        counters['routers_running'] = self.peers.running_count(
+            time.monotonic()
+        )
         body = self.metrics.text().encode()
         call.answer(200, [('Content-Type', 'text/plain')], body)
 
--- a/packages/gateway/ibisring_gateway/selecting.py
+++ b/packages/gateway/ibisring_gateway/selecting.py
@@ -326,9 +326,9 @@
 
     def event_came(self, attempt, now):
         """Note an event, and when the next is overdue."""
-        gap = now - attempt.last_at
-        attempt.last_at = now
-        attempt.looks = 0
+        gap = now - attempt.last_event_at
+        attempt.last_event_at = now
+        attempt.checks = 0
         attempt.events += 1
         if attempt.events == 1 and attempt.stages:
             with self.view.lock:
@@ -337,9 +337,11 @@
                 )
         if attempt.events > 1:
             weight = 0.3 if attempt.events > 2 else 1.0
-            attempt.pace += weight * (gap - attempt.pace)
-        wait = max(LEAST_GAP, attempt.pace * GAP_FACTOR)
-        attempt.silent_at = now + min(wait, max(MOST_GAP, 1.5 * attempt.pace))
+            attempt.mean_gap += weight * (gap - attempt.mean_gap)
+        wait = max(LEAST_GAP, attempt.mean_gap * GAP_FACTOR)
+        attempt.check_at = now + min(
+            wait, max(MOST_GAP, 1.5 * attempt.mean_gap)
+        )
 
     def culprit(self, attempt, answer):
         """Give the id of the endpoint that a refusal is about."""
@@ -357,7 +359,7 @@
         """
         if answer.wrong_endpoint and not attempt.stages:
             self.view.book.unreachable(culprit, now)
-        elif attempt.stages and now - attempt.last_at > STALLED:
+        elif attempt.stages and now - attempt.last_event_at > STALLED:
             self.view.book.unreachable(culprit, now)
         else:
             has_memory = self._used(attempt, culprit) < loadbook.HAS_MEMORY
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -98,14 +98,14 @@
     def _set_patience(self, job, attempt):
         now = self.clock()
         attempt.sent_at = now
-        attempt.last_at = now
+        attempt.last_event_at = now
         if job.progress.stream:
-            attempt.silent_at = now + self.selector.first_event(job, attempt)
-        elif job.route.repeatable and attempt.may_leave:
+            attempt.check_at = now + self.selector.first_event(job, attempt)
+        elif job.route.repeatable and attempt.may_change_endpoint:
             # A slow answer is worth little by then, and another endpoint
             # may still give one in time.  The last one that the route allows
             # is waited for: ending it would leave the caller with nothing.
-            attempt.silent_at = now + PATIENCE * job.route.objective
+            attempt.check_at = now + PATIENCE * job.route.objective
 
     def _not_reached(self, job, attempt, error):
         name = attempt.endpoint.id
@@ -173,7 +173,7 @@
         if damage:
             conn.close()
             return self._lost(job, attempt, damage)
-        attempt.last_at = now
+        attempt.last_event_at = now
         if job.progress.stream and answer.status == 200:
             end = self._relay_stream(job, attempt, response, answer)
         else:
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -130,14 +130,16 @@
     """
     actor, view, changes = _directory()
     _endpoints(actor, [build.held_endpoint('x', 0, 8, started=3)])
-    news = directory.Learnt('x', 3, build.holding(8, 16))
-    actor.on_learnt(news)
+    news = directory.HoldingReport('x', 3, build.holding(8, 16))
+    actor.on_holding_report(news)
     assert view.snapshot.endpoints['x'].holding == build.holding(0, 8)
     actor.on_failed(directory.Failed('no answer'))
-    actor.on_learnt(news)
+    actor.on_holding_report(news)
     assert view.snapshot.endpoints['x'].holding == build.holding(8, 16)
     assert len(changes) == 2
-    actor.on_learnt(directory.Learnt('x', 4, build.holding(0, 4)))
+    actor.on_holding_report(
+        directory.HoldingReport('x', 4, build.holding(0, 4))
+    )
     assert view.snapshot.endpoints['x'].holding == build.holding(8, 16)
     again = build.held_endpoint('x', 0, 4, started=3)
     _endpoints(actor, [again], whole=False, position=2)
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -45,7 +45,7 @@
         self.view = builders.view_of(self.endpoints, table)
         self.watcher = _Watcher()
         self.selector = selecting.make_selector(self.view)
-        self.doctor = doctor_module.make_doctor(
+        self.doctor = doctor_module.make_stall_handler(
             self.view,
             self.engines,
             self.selector,
@@ -63,7 +63,7 @@
         attempt = watching.Attempt(name, self.chain[0], stages, 1e12)
         attempt.events = 5
         attempt.tokens = 10.0
-        attempt.last_at = time.monotonic() - 0.1
+        attempt.last_event_at = time.monotonic() - 0.1
         self.watcher.attempts.append(attempt)
         self.selector.reserve(attempt)
         return attempt
@@ -97,7 +97,7 @@
 
 def test_a_lost_stage_is_gone_round_behind_the_same_head(scene):
     scene.engines.dead.add('m:1')
-    scene.doctor.silent(scene.attempt)
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert scene.attempt.end is None
     assert _names(scene.attempt.stages) == ['h', 'm2', 't']
@@ -107,7 +107,7 @@
 
 def test_a_lost_head_ends_the_attempt(scene):
     scene.engines.dead.add('h:1')
-    scene.doctor.silent(scene.attempt)
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert scene.attempt.end is attempts.End.SILENT
     assert scene.engines.moved == []
@@ -122,17 +122,17 @@
     """
     scene = Scene()
     scene.engines.dead.add('m:1')
-    scene.doctor.silent(scene.attempt)
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert scene.attempt.end is None
-    assert scene.attempt.silent_at > time.monotonic()
+    assert scene.attempt.check_at > time.monotonic()
     scene.doctor.stop()
 
 
 def test_stages_that_deliver_for_others_are_not_asked(scene):
     other = scene.new_attempt('r2')
-    other.last_at = time.monotonic()
-    scene.doctor.silent(scene.attempt)
+    other.last_event_at = time.monotonic()
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert scene.engines.asked == []
 
@@ -145,11 +145,11 @@
     Cause: any later event vouched for all stages of its chain.
     """
     scene.engines.dead.add('m:1')
-    scene.attempt.pace = 0.04
-    scene.attempt.last_at = time.monotonic() - 0.08
+    scene.attempt.mean_gap = 0.04
+    scene.attempt.last_event_at = time.monotonic() - 0.08
     other = scene.new_attempt('r2')
-    other.last_at = scene.attempt.last_at + 0.035
-    scene.doctor.silent(scene.attempt)
+    other.last_event_at = scene.attempt.last_event_at + 0.035
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert 'm2' in _names(scene.attempt.stages)
 
@@ -164,7 +164,7 @@
     scene.engines.dead.add('m:1')
     others = [scene.new_attempt(f'q{n}') for n in range(40)]
     for attempt in others:
-        scene.doctor.silent(attempt)
+        scene.doctor.handle(attempt)
     scene.settle()
     assert not scene.view.book.is_dead('t')
     assert scene.engines.asked.count('t:1') <= 4
@@ -174,7 +174,7 @@
 
 def test_when_all_seem_lost_the_router_doubts_itself(scene):
     scene.engines.dead.update(('h:1', 'm:1', 't:1'))
-    scene.doctor.silent(scene.attempt)
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert not scene.view.book.is_dead('m')
     assert scene.attempt.end is None
@@ -186,7 +186,7 @@
 )
 def test_requests_move_off_an_engine_that_leaves(scene, changes):
     scene.replace('m', **changes)
-    scene.doctor.look_round()
+    scene.doctor.run_checks()
     scene.settle()
     assert _names(scene.attempt.stages) == ['h', 'm2', 't']
 
@@ -204,7 +204,7 @@
     )
     scene.replace('t', holding=None)
     scene.engines.dead.add('m:1')
-    scene.doctor.silent(scene.attempt)
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert _names(scene.attempt.stages) == ['h', 'm2', 't2']
     scene.doctor.stop()
@@ -223,7 +223,7 @@
         _engine('h2', 0, 40, card='big'),
         _engine('t2', 40, 80, card='big'),
     ]
-    for spares, may_leave, end in (
+    for spares, may_change_endpoint, end in (
         (others, True, attempts.End.SILENT),
         (others, False, None),
         (others[1:], True, None),
@@ -232,8 +232,8 @@
         # Keeps the stage from being replaced behind the same first one.
         scene.engines.result = ports.OrderResult.CONFLICT
         scene.replace(given_up, holding=None)
-        scene.attempt.may_leave = may_leave
-        scene.doctor.look_round()
+        scene.attempt.may_change_endpoint = may_change_endpoint
+        scene.doctor.run_checks()
         scene.settle()
         assert scene.attempt.end is end
         scene.doctor.stop()
@@ -249,7 +249,7 @@
     scene = Scene()
     scene.replace('m', state=routing.State.DRAINING)
     for _ in range(6):
-        scene.doctor.look_round()
+        scene.doctor.run_checks()
         time.sleep(0.02)
     scene.settle()
     assert scene.attempt.moves == 0
@@ -258,7 +258,7 @@
 
 def test_the_dead_are_asked_again(scene):
     scene.view.book.unreachable('t', time.monotonic() - 10.0)
-    scene.doctor.look_round()
+    scene.doctor.run_checks()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
     assert not scene.view.book.is_dead('t')
@@ -273,7 +273,7 @@
     """
     scene.engines.late['t:1'] = 0.05
     scene.view.book.unreachable('t', time.monotonic() - 10.0)
-    scene.doctor.look_round()
+    scene.doctor.run_checks()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
     assert not scene.view.book.is_dead('t')
@@ -291,9 +291,9 @@
     now = time.monotonic()
     for name in ('h', 'm', 't', 'm2'):
         scene.view.book.unreachable(name, now - 10.0)
-    scene.doctor.look_round()
+    scene.doctor.run_checks()
     time.sleep(0.3)
     assert scene.doctor.asker.patience.limit > 0.05
-    scene.doctor.silent(scene.attempt)
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert not any(map(scene.view.book.is_dead, ('h', 'm', 't', 'm2')))
--- a/packages/gateway/ibisring_gateway/tests/test_large_fleets.py
+++ b/packages/gateway/ibisring_gateway/tests/test_large_fleets.py
@@ -44,7 +44,7 @@
 def _counts(fleet, numbers=None):
     now = fleet.scheduler.now
     return [
-        router.peers.running(now)
+        router.peers.running_count(now)
         for number, router in fleet.routers.items()
         if numbers is None or number in numbers
     ]
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -63,16 +63,16 @@
     served = sharing.Standing.SERVED
     for name, domain in (('q1', 'a'), ('r1', 'a'), ('s1', 'b'), ('t1', 'B')):
         _hear(known, name, domain, LOST, clock(), None, served)
-    assert known.place() == polling.Fleet(4, 2, 5)
+    assert known.polling_slot() == polling.Fleet(4, 2, 5)
     for name in ('q1', 'r1'):
         lost = sharing.Standing.LOST
         _hear(known, name, 'a', LOST, clock(), None, lost)
     known._judge_role(clock())
     assert known.role() is sharing.Role.ASKS
-    assert known.place() == polling.Fleet(5, 1, 5)
+    assert known.polling_slot() == polling.Fleet(5, 1, 5)
     clock.now += 100.0
     known._judge_role(clock())
-    assert known.place() == polling.Fleet(1, 0, 1)
+    assert known.polling_slot() == polling.Fleet(1, 0, 1)
 
 
 def test_what_others_say_of_the_store_is_passed_on():
@@ -138,10 +138,10 @@
     known = _peers()
     for number in range(1, count):
         _hear(known, f'r{number}', 'a', LOST, 10.0)
-    assert len(known.store_touches(11.0)) == count - 1
-    assert known.store_touches(10.0 + hearing.HEARD_FOR) == {}
+    assert len(known.store_statuses(11.0)) == count - 1
+    assert known.store_statuses(10.0 + hearing.HEARD_FOR) == {}
     if count == 6:
-        assert known.store_touches(10.0 + hearing.HEARD_LATELY) == {}
+        assert known.store_statuses(10.0 + hearing.HEARD_LATELY) == {}
 
 
 def test_holdings_that_engines_told_another_router_are_taken():
@@ -153,7 +153,7 @@
     data = msgspec.msgpack.encode(news)
     told_us = msgspec.msgpack.decode(data, type=gossip.Told)
     telling.take(told_us, ('10.0.0.1', 7))
-    assert told == [directory.Learnt('x', 5, routing.Holding(0, 8))]
+    assert told == [directory.HoldingReport('x', 5, routing.Holding(0, 8))]
     assert known.view.term == 4
 
 
--- a/packages/gateway/ibisring_gateway/tests/test_placing.py
+++ b/packages/gateway/ibisring_gateway/tests/test_placing.py
@@ -177,7 +177,7 @@
     leases.fails = exceptions.PlatformUnavailable('503')
     _look(placer)
     assert engines.placed == []
-    assert placer.view.store_touch is ordering.StoreTouch.LOST
+    assert placer.view.store_status is ordering.StoreTouch.LOST
     placer.view.lease_lost_at -= ordering.OUTAGE_LEAST
     _look(placer)
     assert engines.placed
@@ -185,7 +185,7 @@
     placer.orders.pending.clear()
     leases.fails = None
     _look(placer)
-    assert placer.view.store_touch is ordering.StoreTouch.FOLLOWED
+    assert placer.view.store_status is ordering.StoreTouch.FOLLOWED
 
 
 def test_engines_are_asked_what_they_hold_while_the_store_is_away():
@@ -197,7 +197,7 @@
     _look(placer, times=1)
     assert {message.id for message in told} == ordered
     assert {message.holding for message in told} == {engines.holding}
-    assert set(placer.view.told_holdings(placer.view.clock())) == ordered
+    assert set(placer.view.holdings_to_send(placer.view.clock())) == ordered
 
 
 def test_a_busy_engine_is_not_ordered():
--- a/packages/gateway/ibisring_gateway/tests/test_spread.py
+++ b/packages/gateway/ibisring_gateway/tests/test_spread.py
@@ -32,7 +32,7 @@
         router = fleet.routers[number]
         now = fleet.scheduler.now
         router.view.suspects.ended(DIGEST, f'e{number}', 1, now)
-        router.gossip.hurry()
+        router.gossip.request_send()
 
 
 def _refusing(fleet, numbers=None):
@@ -86,13 +86,13 @@
     router = fleet.routers[1]
     now = fleet.scheduler.now
     router.view.limits.said('e1', 1, 2.5, now, now)
-    router.gossip.hurry()
+    router.gossip.request_send()
     _run(fleet, 7.0 + CONTACT)
     rates = {r.view.limits.rate('e1') for r in fleet.routers.values()}
     assert rates == {2.5}
     now = fleet.scheduler.now
     router.view.limits.said('e1', 1, None, now, now)
-    router.gossip.hurry()
+    router.gossip.request_send()
     _run(fleet, 7.0 + 2 * CONTACT)
     rates = {r.view.limits.rate('e1') for r in fleet.routers.values()}
     assert rates == {None}
--- a/packages/gateway/ibisring_gateway/tests/test_watching.py
+++ b/packages/gateway/ibisring_gateway/tests/test_watching.py
@@ -38,7 +38,7 @@
     assert watcher.sleep(clock()) == watching.IDLE_SLEEP
     attempt, ours, _ = _attempt(watcher, clock)
     assert watcher.sleep(clock()) == pytest.approx(watching.MOST_SLEEP)
-    attempt.silent_at = clock() + 0.02
+    attempt.check_at = clock() + 0.02
     assert watcher.sleep(clock()) == pytest.approx(0.02)
     attempt.looking = True
     assert watcher.sleep(clock()) == pytest.approx(watching.MOST_SLEEP)
@@ -50,7 +50,7 @@
 def test_what_is_due_is_looked_at_once():
     watcher, clock, silent = _watcher()
     attempt, ours, _ = _attempt(watcher, clock)
-    attempt.silent_at = clock() + 0.06
+    attempt.check_at = clock() + 0.06
     watcher.look(clock())
     assert not silent
     clock.now += 0.06
--- a/packages/gateway/ibisring_gateway/tests/virtualfleet.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualfleet.py
@@ -128,7 +128,7 @@
         tell = self.directory.on_receive
         rows = _Rows(fleet, number)
         followers = following.make_followers(
-            lambda: self.peers.place(),
+            lambda: self.peers.polling_slot(),
             lambda: self.peers.role(),
             scheduler.clock,
         )
--- a/packages/gateway/ibisring_gateway/view.py
+++ b/packages/gateway/ibisring_gateway/view.py
@@ -34,8 +34,8 @@
     index: object = None
     endpoints: dict = {}
     by_service: dict = {}
-    table_at: float = 0.0
-    endpoints_at: float = 0.0
+    table_read_at: float = 0.0
+    endpoints_read_at: float = 0.0
     endpoints_known: bool = False
     known_since: float = 0.0
     position: int = 0
@@ -60,7 +60,7 @@
         The newest of the right to order that this router knows.
     lease_lost_at : float or None
         Since when the store has refused to say who holds the lease.
-    learnt : dict of str to (float, int, routing.Holding or None)
+    reported_holdings : dict of str to (float, int, routing.Holding or None)
         What engines told this router while the store is away: when, their
         start time, what they hold.
     """
@@ -76,12 +76,12 @@
         self.limits = ratelimits.make_limits(name, domain)
         self.term = 0
         self.lease_lost_at = None
-        self.learnt = {}
+        self.reported_holdings = {}
 
-    def told_holdings(self, now):
+    def holdings_to_send(self, now):
         """Give what engines told lately: start, first layer and end."""
         found = {}
-        for name, (at, started, held) in list(self.learnt.items()):
+        for name, (at, started, held) in list(self.reported_holdings.items()):
             if now - at < LEARNT_TOLD_FOR:
                 first, end = (held.first, held.end) if held else (0, 0)
                 found[name] = started, first, end
@@ -98,7 +98,7 @@
         return min((at for at in times if at is not None), default=None)
 
     @property
-    def store_touch(self):
+    def store_status(self):
         """What this router knows of the store."""
         if not self.is_ready:
             return ordering.StoreTouch.NOTHING
--- a/packages/gateway/ibisring_gateway/watching.py
+++ b/packages/gateway/ibisring_gateway/watching.py
@@ -28,9 +28,9 @@
     ----------
     end : attempts.End or None
         Why the watcher broke it off.
-    may_leave : bool
+    may_change_endpoint : bool
         Whether the request may still go to another first endpoint.
-    deadline, silent_at : float
+    deadline, check_at : float
         Monotonic seconds: when to give up, and when to look at its stages.
     """
 
@@ -41,17 +41,17 @@
         'socket',
         'end',
         'deadline',
-        'silent_at',
+        'check_at',
         'sent_at',
-        'last_at',
-        'looks',
+        'last_event_at',
+        'checks',
         'looking',
-        'pace',
+        'mean_gap',
         'events',
         'tokens',
         'moves',
         'stuck',
-        'may_leave',
+        'may_change_endpoint',
     )
 
     def __init__(self, request_id, endpoint, stages, deadline):
@@ -61,17 +61,17 @@
         self.socket = None
         self.end = None
         self.deadline = deadline
-        self.silent_at = None
+        self.check_at = None
         self.sent_at = 0.0
-        self.last_at = 0.0
-        self.looks = 0
+        self.last_event_at = 0.0
+        self.checks = 0
         self.looking = False
-        self.pace = 0.0
+        self.mean_gap = 0.0
         self.events = 0
         self.tokens = 0.0
         self.moves = 0
         self.stuck = None
-        self.may_leave = True
+        self.may_change_endpoint = True
 
     def break_off(self, end):
         """End the attempt; the thread that reads it wakes up.
@@ -168,8 +168,8 @@
         dues = [now + MOST_SLEEP]
         for attempt in self.all():
             dues.append(attempt.deadline)
-            if attempt.silent_at is not None and not attempt.looking:
-                dues.append(attempt.silent_at)
+            if attempt.check_at is not None and not attempt.looking:
+                dues.append(attempt.check_at)
         return max(LEAST_SLEEP, min(dues) - now)
 
     def _on_event(self, fd):
@@ -187,7 +187,7 @@
         for attempt in self.all():
             if now >= attempt.deadline:
                 attempt.break_off(attempts.End.DEADLINE)
-            elif attempt.silent_at is not None and now >= attempt.silent_at:
+            elif attempt.check_at is not None and now >= attempt.check_at:
                 if not attempt.looking and attempt.end is None:
                     attempt.looking = True
                     self.on_silence(attempt)
