--- a/packages/gateway/ibisring_gateway/asking.py
+++ b/packages/gateway/ibisring_gateway/asking.py
@@ -1,4 +1,4 @@
-"""Asking engines for their status, and what follows from the answers."""
+"""Status queries to engines, and the health updates that result."""
 
 __all__ = ['Asker', 'make_asker']
 
@@ -11,21 +11,23 @@
 from ibisring_router import logs
 
 LOG = logging.getLogger(__name__)
-# Bounds of the seconds that an endpoint has to tell its status while a caller
-# waits: it needs no slot for it, and streams are late after a pause of 0.2.
+# Bounds in seconds of the timeout of a status query while a caller waits.
+# The endpoint needs no free slot to answer, and a stream counts as late after
+# a pause of 0.2 s.
 LEAST_TIMEOUT = 0.035
 MOST_TIMEOUT = 0.12
-# Seconds that an endpoint believed lost has: nobody waits for that answer,
-# and one that is merely late must not stay out for as long as it is.
+# Timeout in seconds for an endpoint that counts as unreachable: no caller
+# waits for this answer, and an endpoint that is only slow must not stay
+# excluded for as long as it is slow.
 REVIVE_TIMEOUT = 0.15
-# A status this fresh is not asked for again, in seconds: when a stage dies
-# all requests through it fall silent together.
+# Seconds for which a query is shared: when a stage dies, all requests that
+# pass through it fall silent together.
 FRESH = 0.05
 WORKERS = 24
 
 
 class Asker:
-    """Asks engines, several at the same time.
+    """Queries several engines concurrently for their status.
 
     Parameters
     ----------
@@ -40,23 +42,24 @@
         self.metrics = metrics
         self.clock = view.clock
         self.patience = patience.make_patience(LEAST_TIMEOUT, MOST_TIMEOUT)
-        # Those who examine requests wait for those who ask; in one pool, when
-        # many requests fall silent together, all threads would wait for a
-        # free one and every stage would seem lost.
+        # Separate from the pool that checks attempts, whose threads wait for
+        # these queries: in a shared pool, when many requests fall silent
+        # together, all threads would wait for a free one and every stage
+        # would seem lost.
         self.pool = concurrent.futures.ThreadPoolExecutor(WORKERS)
         self.asked = {}
 
     def stop(self):
-        """End the threads."""
+        """Shut the thread pool down without waiting."""
         self.pool.shutdown(wait=False, cancel_futures=True)
 
     def ask(self, endpoint):
-        """Ask an endpoint for its status, or share a question just asked.
+        """Query an endpoint's status, or share a query just sent.
 
         Returns
         -------
         concurrent.futures.Future
-            Of an `EngineStatus`, or of None without an answer in time.
+            Its result is an `EngineStatus`, or None after a timeout.
         """
         now = self.clock()
         with self.view.lock:
@@ -69,19 +72,19 @@
             return future
 
     def answered(self, future):
-        """Say whether a question was answered in time."""
+        """Wait for a query and return whether it was answered in time."""
         try:
             return future.result(timeout=4 * MOST_TIMEOUT) is not None
         except concurrent.futures.TimeoutError:
-            LOG.debug('status questions wait for a thread')
+            LOG.debug('status query timed out waiting for a free thread')
             return False
 
     def revive(self, endpoint):
-        """Ask an endpoint believed lost whether it lives; returns at once."""
+        """Probe an unreachable endpoint in the background."""
         self.pool.submit(self._revive, endpoint)
 
     def look_at_pace(self, endpoint):
-        """Ask a slow endpoint whether it still is; returns at once."""
+        """Query a slow endpoint's current pace in the background."""
         self.pool.submit(self._status, endpoint, REVIVE_TIMEOUT)
 
     def _status(self, endpoint, timeout):
--- a/packages/gateway/ibisring_gateway/changes.py
+++ b/packages/gateway/ibisring_gateway/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the store's tables as one router tells them to another."""
+"""Changes of the store's tables as routers send them to each other."""
 
 __all__ = ['Changes', 'pack', 'unpack', 'table_changes', 'endpoint_changes']
 
@@ -11,23 +11,25 @@
 from ibisring_records import exceptions
 from ibisring_records import routing
 
-# Seconds for which the copies of one message may fill the teller's link;
-# streams may pause not much longer.  What takes more is not told, and each
-# router reads it by itself.
+# Seconds for which the copies of one message may saturate the sender's link;
+# a stream that pauses much longer counts as late.  Larger changes are not
+# sent, and each router reads them from the store itself.
 MOST_SECONDS = 0.1
-# Bytes of a message where the link is not known, and of any.
+# Size limits of a packed message in bytes: if the speed of the link is not
+# known, and in any case.
 USUAL_PACKED = 8000
 MOST_PACKED = 50000
 BITS = 8
 MBIT = 1e6
-# Largest size of what is unpacked, in bytes.
+# Size limit in bytes after decompression.
 MOST_UNPACKED = 1_000_000
 
 
 class Changes(msgspec.Struct, array_like=True):
-    """What changed in one table after `before`, up to `position`.
+    """Changes of one table after version `before`, up to `position`.
 
-    All three versions are the store's; `changed` is that of the last change.
+    All versions are the store's; `changed` is that of the last change.
+    Encoded as an array, so the order of the fields is the format.
     """
 
     is_table: bool
@@ -39,7 +41,7 @@
     table: tablechanges.TableChange | None = None
 
     def items(self, known):
-        """Give the items that a page would have had.
+        """Return the items that a page of the store would contain.
 
         Parameters
         ----------
@@ -49,7 +51,7 @@
         Returns
         -------
         list or None
-            None if the change is based on another table.
+            None if the change is relative to another table.
         """
         if not self.is_table:
             gone = [ports.Gone(name) for name in self.gone]
@@ -60,20 +62,20 @@
 
 
 def table_changes(page, before, known):
-    """Give what a page of routing tables brought to one who knew `before`.
+    """Encode a page of routing tables as a change since `before`.
 
     Parameters
     ----------
     page : ports.Page
     before : int
-        The store's version.
+        Store version that the page follows.
     known : routing.RoutingTable or None
-        The table that was in force.
+        The table in force before the page.
 
     Returns
     -------
     Changes or None
-        None if that can't be told in short.
+        None if the change has no short form.
     """
     if known is None:
         return None
@@ -84,7 +86,7 @@
 
 
 def endpoint_changes(page, before):
-    """Give what a page of endpoints brought to one who knew `before`."""
+    """Encode a page of endpoints as a change since `before`."""
     last = {item.id: item for item in page.items}
     gone = [n for n, item in last.items() if isinstance(item, ports.Gone)]
     endpoints = [item for name, item in last.items() if name not in set(gone)]
@@ -92,19 +94,20 @@
 
 
 def pack(changes, copies, link):
-    """Give bytes for a datagram, none if they would be too many.
+    """Compress changes for a datagram.
 
     Parameters
     ----------
     changes : Changes
     copies : int
-        How many routers are told.
+        Number of routers that the datagram is sent to.
     link : float
         Speed of the link in Mbit/s, 0 if it is not known.
 
     Returns
     -------
     bytes
+        Empty if the result is too large to send.
     """
     packed = zlib.compress(msgspec.msgpack.encode(changes))
     most = USUAL_PACKED
@@ -115,7 +118,7 @@
 
 
 def unpack(packed):
-    """Give the `Changes` in a datagram.
+    """Decode the `Changes` in a datagram.
 
     Raises
     ------
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -1,4 +1,4 @@
-"""The actor that holds which endpoints and which configuration are known."""
+"""Actor that maintains the endpoints and the routing table in force."""
 
 __all__ = ['Read', 'Failed', 'Confirmed', 'HoldingReport', 'Tick', 'Directory']
 
@@ -19,11 +19,11 @@
 
 
 class Read(msgspec.Struct):
-    """Something was read; `whole` if it was all there is.
+    """Result of a read; `whole` if the items are the complete table.
 
-    `origin` tells the store from a peer; `position` is the store's version
-    that the items are of, `changed` that of the newest one, `age` the seconds
-    since the store was read, `waited` those that the call took.
+    `origin` names the store or a peer router; `position` is the store version
+    of the items, `changed` that of the newest one, `age` the seconds since
+    the store was read, `waited` the seconds that the call took.
     """
 
     items: list
@@ -37,12 +37,12 @@
 
 
 class Confirmed(msgspec.Struct):
-    """A router that reads the store says that nothing newer is there.
+    """Versions that a router which reads the store has confirmed as current.
 
-    `table` is the routing table's version and `table_position` the store's up
-    to which it has read that, `changed` the store's at which endpoints last
-    changed and `position` the one up to which it has read these, `age` the
-    seconds since.
+    `table` is the version of the routing table, `table_position` the store
+    version up to which the table was read; `changed` is the store version at
+    which endpoints last changed, `position` the one up to which they were
+    read; `age` is the seconds since these reads.
     """
 
     table: int
@@ -53,7 +53,7 @@
 
 
 class Failed(msgspec.Struct):
-    """The store could not be read; `waited` seconds were spent on it."""
+    """A read of the store failed after `waited` seconds."""
 
     why: str
     is_table: bool = False
@@ -61,7 +61,7 @@
 
 
 class HoldingReport(msgspec.Struct):
-    """An engine said what it holds, while the store is away."""
+    """Layers that an engine reported directly during a store outage."""
 
     id: str
     started: int
@@ -69,11 +69,11 @@
 
 
 class Tick(msgspec.Struct):
-    """Some time has passed: what did not come back is dropped."""
+    """Periodic message: expires endpoints missing since an outage."""
 
 
 class Directory(actors.MessageActor):
-    """Applies what is read to the view, as new snapshots.
+    """Applies read results to the view as new snapshots.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
     on_change : callable
         Called after endpoints have changed.
     on_table : callable
-        Called with a routing table that is in force from now on.
+        Called with each routing table that comes into force.
     """
 
     def __init__(self, view, metrics, connections, on_change, on_table):
@@ -106,7 +106,7 @@
         }
 
     def on_failed(self, message):
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         now = self.view.clock()
         if self.presence.failed(now):
             self._replace(store_lost_at=now)
@@ -117,7 +117,7 @@
             self._log_touch('store_lost', message, now, why=message.why)
 
     def on_read(self, message):
-        """Apply what was read."""
+        """Apply the result of a read."""
         now = self.view.clock()
         if message.origin == STORE:
             self._store_answered(message, now)
@@ -131,7 +131,7 @@
         self._apply_endpoints(message, now)
 
     def on_confirmed(self, message):
-        """Note that what is known is not older than what a reader knows."""
+        """Update read times and versions that a reader has confirmed."""
         before = self.view.snapshot
         read_at = self.view.clock() - message.age
         if message.table == before.version:
@@ -156,10 +156,10 @@
             self._log_touch('store_regained', message, now)
 
     def _log_touch(self, name, message, now, **facts):
-        """Log that one of the store's tables is lost or regained.
+        """Log that the store stopped or resumed serving one of its tables.
 
-        The two are followed by calls of their own, so that one may be read
-        long before the other.
+        Each table is followed by separate calls, so that one may be read
+        again long before the other.
         """
         before = self.view.snapshot
         read_at = (
@@ -179,8 +179,8 @@
     def on_tick(self, message):
         """Drop endpoints that did not come back after an outage.
 
-        Messages from the store may be seconds apart; until the next one a
-        request would go to an endpoint that has left.
+        Answers of the store may be seconds apart; without this, requests
+        would go to an endpoint that has left until the next answer.
         """
         now = self.view.clock()
         if self.presence.expire(now):
@@ -188,7 +188,7 @@
             self._publish(now, 'time', before.endpoints_read_at, before)
 
     def on_holding_report(self, message):
-        """Believe an engine of itself while its entry can't change."""
+        """Apply an engine's own report while its store entry can't change."""
         if self.view.store_lost_at is None:
             return
         if self.presence.amend(message.id, message.started, message.holding):
@@ -198,10 +198,10 @@
             )
 
     def _apply_table(self, table, origin):
-        """Put a table in force unless it is older than the present one.
+        """Put a table in force unless it is older than the current one.
 
-        A store that answers with an old state, or a peer that is behind,
-        would otherwise bring back a key or a route that was taken away.
+        A store that serves stale state, or a peer that is behind, would
+        otherwise restore a revoked key or a removed route.
         """
         before = self.view.snapshot
         if before.index is not None and table.version <= before.version:
@@ -220,12 +220,12 @@
         self.on_table(table)
 
     def _apply_endpoints(self, message, now):
-        """Put endpoints in force unless something newer is known.
+        """Put endpoints in force unless a newer version is known.
 
-        A process that stood still may wake with an answer from before, when
-        another router has told it more; an endpoint that is leaving would
-        seem to stay.  What is left out comes again: the next call goes on
-        from the older position.
+        A process that was suspended may resume with an old answer after
+        another router has sent newer state; an endpoint that is leaving
+        would then seem to stay.  Nothing is lost by ignoring the answer: the
+        next call continues from the older position.
         """
         if message.position < self.view.snapshot.position:
             logs.event(
@@ -241,8 +241,8 @@
             if message.position <= self.view.snapshot.position:
                 return
         if message.whole:
-            # Another router reads the store, so what is missing there has
-            # left.
+            # A peer has read the store, so endpoints missing from its list
+            # have left.
             sure = message.origin != STORE
             changed = self.presence.replace(message.items, now, sure=sure)
         else:
@@ -256,7 +256,7 @@
         self._publish(now, message.origin, now - message.age, message)
 
     def _apply_each(self, items, now):
-        """Put or remove endpoints; True if something is new."""
+        """Add or remove endpoints; True if anything changed."""
         changed = False
         for item in items:
             if isinstance(item, ports.Gone):
@@ -266,7 +266,7 @@
         return changed
 
     def _publish(self, now, origin, read_at, known):
-        """Put the endpoints in force.
+        """Put the usable endpoints in force as a new snapshot.
 
         Parameters
         ----------
@@ -275,7 +275,7 @@
         read_at : float
             When the store was read.
         known : Read or view.Snapshot
-            Has the store's version.
+            Provides the store versions.
         """
         before = self.view.snapshot
         usable = self.presence.usable()
@@ -322,5 +322,5 @@
 
 
 def _source(message):
-    """Name what a message is about, for log lines."""
+    """Return the name of a message's table for log lines."""
     return 'table' if message.is_table else 'endpoints'
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -1,4 +1,4 @@
-"""Finding out which stage of a silent request is lost, and going round it."""
+"""Detection of lost stages of silent requests, and rerouting around them."""
 
 __all__ = ['StallHandler', 'make_stall_handler']
 
@@ -12,25 +12,25 @@
 from ibisring_router import logs
 
 LOG = logging.getLogger(__name__)
-# A stage vouched for by another request's event within so many seconds.
+# Seconds for which an event of another request shows that a stage is alive.
 VOUCHES = 0.05
-# If so many of the stages asked fail at once, it is more likely that this
-# router is slow or cut off than that they all died.
+# If more than this share of the stages queried fail at once, this router is
+# more likely slow or disconnected than all of them are down.
 MOST_LOST_SHARE = 0.7
-# Seconds to wait after a repair, and after the first look that found nothing
-# wrong; each further look waits twice as long.
+# Seconds until the next check after stages were replaced, and after the first
+# check that found nothing wrong; the wait doubles with each further check.
 AFTER_REPAIR = 0.25
 AFTER_LOOK = 0.06
-# Looks that find nothing before the request is sent elsewhere: a stalled
-# stage answers its status while its own links are gone.
+# Checks without a finding before the request is sent elsewhere: a stage that
+# has lost its own links to other stages still answers status queries.
 MOST_LOOKS = 4
 WORKERS = 24
-# Times that a request is moved off engines that leave.
+# Limit of the times that a request is moved off engines that leave.
 MOST_MOVES = 3
 
 
 class StallHandler:
-    """Looks at the stages of silent attempts.
+    """Checks the stages of silent attempts and replaces lost ones.
 
     Parameters
     ----------
@@ -52,12 +52,12 @@
         self.asker = asking.make_asker(view, engines, metrics)
 
     def stop(self):
-        """End the threads."""
+        """Shut the thread pools down without waiting."""
         self.pool.shutdown(wait=False, cancel_futures=True)
         self.asker.stop()
 
     def handle(self, attempt):
-        """Take an attempt on; returns at once."""
+        """Check a silent attempt in the background."""
         self.pool.submit(self._examine, attempt)
 
     def _examine(self, attempt):
@@ -91,18 +91,18 @@
         if attempt.endpoint.id in lost:
             attempt.break_off(attempts.End.SILENT)
             return
-        # A path with a stage that was given up is refused, so those that are
-        # not at fault have to be replaced as well.
+        # Engines refuse a path with a stage that is leaving or has given up
+        # its layers, so such stages are replaced along with the lost ones.
         lost |= _leaving(attempt, self.view.snapshot.endpoints)
         is_head = attempt.endpoint.id in lost
         if is_head or not self._go_round(attempt, lost):
             self._start_elsewhere(attempt, now)
 
     def _start_elsewhere(self, attempt, now):
-        """End an attempt that can't be moved, if another can take its place.
+        """End an attempt that can't be rerouted, if another chain has room.
 
-        While no chain has room the stall is waited out: the lost layers may
-        be loaded elsewhere before the caller gives up.
+        Otherwise the attempt stays: the lost layers may be loaded elsewhere
+        before the caller gives up.
         """
         if self.selector.has_other(attempt, now):
             attempt.break_off(attempts.End.SILENT)
@@ -119,7 +119,7 @@
         attempt.check_at = now + AFTER_LOOK * 2 ** (looks - 1)
 
     def _find_lost(self, attempt):
-        """Give the ids of stages that do not answer."""
+        """Return the ids of the stages that do not answer."""
         by_id = self.view.snapshot.endpoints
         names = [stage.endpoint for stage in attempt.stages]
         with self.view.lock:
@@ -148,12 +148,12 @@
         return lost | gone
 
     def _vouched(self, attempt):
-        """Give the stages through which other requests' events just came.
+        """Return the stages of other requests that had an event just now.
 
-        Asking a stage costs its engine and this router time; one that
-        delivers for others lives.  An event takes up to its whole time of
-        passage from a stage to here, so one that came right after the last
-        of this request says nothing of what happened since.
+        A status query costs time at the engine and here, and a stage that
+        delivers events for others is alive.  An event may be in transit for
+        up to `mean_gap`, so one that arrived right after the last event of
+        this request proves nothing about the time since.
         """
         since = max(
             attempt.last_event_at + attempt.mean_gap, self.clock() - VOUCHES
@@ -169,11 +169,11 @@
         return found
 
     def run_checks(self):
-        """Move requests off stages that are leaving; ask the dead again.
+        """Move requests off leaving stages; probe unreachable engines.
 
-        Called now and then.  An engine that leaves, or gives layers up,
-        waits for the requests that pass through it, and cuts them in the
-        end; moving them early costs a prompt read once more.
+        Called periodically.  An engine that leaves or gives up layers waits
+        for the requests that pass through it and finally cuts them off;
+        moving them early costs only a second prefill of the prompt.
         """
         snapshot = self.view.snapshot
         for attempt in self.watcher.all():
@@ -201,8 +201,8 @@
                 attempt.moves += 1
                 attempt.stuck = None
             elif not self._clear_out(attempt):
-                # Asked again once other engines leave, not at every look:
-                # an attempt would have used up its moves when it needs one.
+                # Retried only when the set of leaving engines changes, not
+                # at every check, so that failing tries don't use up moves.
                 attempt.stuck = leaving
         except Exception:
             LOG.exception('evacuation_failed %s', attempt.request_id)
@@ -210,12 +210,12 @@
             attempt.looking = False
 
     def _clear_out(self, attempt):
-        """End an attempt that keeps an engine from its new layers.
+        """End an attempt that keeps an engine from loading new layers.
 
-        An engine that was ordered to hold other layers loads them only when
-        the requests that pass through it have ended: ten seconds, in which
-        its failure domain lacks them.  The request goes on elsewhere.
-        One whose engine is about to end may finish there instead.
+        An engine ordered to hold other layers loads them only when the
+        requests that pass through it have ended; for up to ten seconds its
+        failure domain lacks these layers.  The request continues elsewhere.
+        An attempt on an engine that is shutting down may finish there.
         """
         endpoints = self.view.snapshot.endpoints
         if not attempt.may_change_endpoint or not _gave_up(attempt, endpoints):
@@ -232,7 +232,7 @@
         return True
 
     def _go_round(self, attempt, lost):
-        """Move the request to other stages behind the same first one."""
+        """Replace lost stages of a request, keeping its first one."""
         stages = self.selector.repair(attempt, lost, self.clock())
         if stages is None or stages == attempt.stages:
             logs.event(
@@ -261,7 +261,7 @@
 
 
 def _leaving(attempt, endpoints):
-    """Give the stages whose engines leave or give their layers up."""
+    """Return the stages whose engines leave or have given up their layers."""
     found = set()
     for stage in attempt.stages:
         endpoint = endpoints.get(stage.endpoint)
@@ -271,7 +271,7 @@
 
 
 def _gave_up(attempt, endpoints):
-    """Give the engines that live but no longer hold the layers they run."""
+    """Return the running engines that no longer hold their stage's layers."""
     found = set()
     for stage in attempt.stages:
         endpoint = endpoints.get(stage.endpoint)
--- a/packages/gateway/ibisring_gateway/feeds.py
+++ b/packages/gateway/ibisring_gateway/feeds.py
@@ -1,4 +1,4 @@
-"""Connections for calls that wait long and that another thread can end."""
+"""Connections for long polls that another thread can cancel."""
 
 __all__ = ['Connection', 'make_connection']
 
@@ -11,8 +11,7 @@
 from urllib3 import exceptions as urllib3_exceptions
 
 LOG = logging.getLogger(__name__)
-# Seconds to connect.
-CONNECT_TIMEOUT = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 _FAILURES = (
     urllib3_exceptions.HTTPError,
     urllib3_connection.HTTPException,
@@ -21,11 +20,10 @@
 
 
 class Connection:
-    """One connection, for one call after the other.
+    """Connection that makes one call at a time.
 
-    A call that the other side will never answer would hold its thread until
-    its timeout; `cancel_call` gives the thread back as soon as that is
-    suspected.
+    A call that is never answered blocks its thread until the timeout;
+    `cancel_call` releases the thread as soon as that is suspected.
 
     Parameters
     ----------
@@ -48,7 +46,7 @@
         target : str
             Path and query.
         timeout : float
-            Seconds without a byte after which it is given up.
+            Seconds without a byte until the call fails.
 
         Returns
         -------
@@ -58,10 +56,10 @@
         Raises
         ------
         PlatformUnavailable
-            There is no connection.
+            The connection could not be opened.
         PlatformAnswerLost
         CallEnded
-            Another thread ended it.
+            Another thread cancelled the call.
         """
         self._connect()
         try:
@@ -77,10 +75,10 @@
             raise exceptions.PlatformAnswerLost(str(error)) from error
 
     def cancel_call(self):
-        """End the call under way, or else the next one.
+        """Cancel the current call, or else the next one.
 
-        Shutting the socket down is what wakes a thread that is blocked in a
-        read of it; closing it would not.
+        Shutting the socket down wakes a thread that is blocked reading from
+        it; closing it would not.
         """
         self.is_ended = True
         conn = self.conn
@@ -96,7 +94,7 @@
         if self.conn is not None and self.conn.sock is not None:
             return
         self.conn = urllib3_connection.HTTPConnection(
-            self.host, self.port, timeout=CONNECT_TIMEOUT
+            self.host, self.port, timeout=CONNECT_TIMEOUT_SECONDS
         )
         try:
             self.conn.connect()
@@ -115,5 +113,5 @@
 
 
 def make_connection(address):
-    """Make a `Connection`; it connects at its first call."""
+    """Make a `Connection`, which connects on its first call."""
     return Connection(address)
--- a/packages/gateway/ibisring_gateway/following.py
+++ b/packages/gateway/ibisring_gateway/following.py
@@ -1,4 +1,4 @@
-"""Threads that follow the store's tables."""
+"""Threads that follow changes of the store's tables."""
 
 __all__ = ['Follower', 'Followers', 'make_followers']
 
@@ -14,15 +14,15 @@
 from ibisring_records import exceptions
 
 LOG = logging.getLogger(__name__)
-# Seconds to pause after an error that nobody thought of.
+# Seconds to pause after an unexpected exception.
 AFTER_ERROR = 1.0
-# Seconds between looks whether a router that leaves reading to others must
-# read by itself.
+# Seconds between checks whether a router that relies on the readers of its
+# failure domain must read the store itself.
 LOOK_AGAIN = 0.5
 
 
 class Follower:
-    """Reads a source once, then its changes, for ever.
+    """Reads a source in full, then polls it for changes until stopped.
 
     Parameters
     ----------
@@ -37,9 +37,9 @@
     Attributes
     ----------
     position : int or None
-        The store's version up to which this router knows the table.
+        Store version up to which this router knows the table.
     changed_by : int
-        A version from which on nothing changed up to `position`.
+        Store version after which nothing changed up to `position`.
     """
 
     def __init__(self, name, source, is_table, followers, tell):
@@ -69,7 +69,7 @@
                 self.pause(AFTER_ERROR)
 
     def pause(self, seconds):
-        """Wait for some seconds, or until woken."""
+        """Wait for some seconds, or until `wake` is set."""
         self.wake.wait(seconds)
         self.wake.clear()
 
@@ -91,12 +91,12 @@
             self.followers.failed(self.name)
 
     def step(self):
-        """Make one call and tell what it brought.
+        """Make one call and pass on its result.
 
         Returns
         -------
         bool
-            Whether there was anything.
+            Whether the table changed.
         """
         self.begun_at = self.clock()
         wait = self.followers.wait(self.name)
@@ -110,8 +110,8 @@
         self.followers.read(self, page.position, whole or changed)
         self.followers.answered(self.name, changed)
         if changed and not whole:
-            # Before it is in force here: what changed is told as a
-            # difference from the table that is.
+            # Before it is applied here, as the change is encoded as a
+            # difference from the table in force.
             self.followers.share(page, before, self.is_table)
         self.tell(
             directory_module.Read(
@@ -126,30 +126,30 @@
         return changed
 
     def advance(self, position, changed):
-        """Note that this router knows the table up to a version."""
+        """Record that this router knows the table up to a version."""
         if changed:
             self.changed_by = max(self.changed_by, position)
         self.position = max(self.position or 0, position)
 
 
 class Followers:
-    """The followers of one router, which share what they see of the store.
+    """The followers of one router, with a shared view of the store's health.
 
     Parameters
     ----------
     fleet : callable
-        Gives the `polling.Fleet`.
+        Returns the `polling.Fleet`.
     role : callable
-        Gives the `sharing.Role`.
+        Returns the `sharing.Role`.
     clock : callable
 
     Attributes
     ----------
     publish : callable
-        Takes a page, the version that it follows, and whether it is of
-        routing tables, to tell the routers that leave reading to this one.
+        Sends a page to the routers that rely on this one; takes the page,
+        the version that it follows, and whether it is of routing tables.
     wanted : set of str
-        Tables to be read once although others read them.
+        Tables to read once although others read them.
     """
 
     def __init__(self, fleet, role, clock=time.monotonic):
@@ -170,24 +170,24 @@
         )
 
     def start(self):
-        """Start a thread for each."""
+        """Start a thread for each follower."""
         for each in self.members.values():
             threading.Thread(target=each.run, daemon=True).start()
         return self
 
     def stop(self):
-        """Let the threads end after their present calls."""
+        """Ask the threads to exit after their current calls."""
         for each in self.members.values():
             each.is_stopped = True
             each.wake.set()
 
     @property
     def lost_at(self):
-        """When the store was last lost to this router."""
+        """When this router last lost the store."""
         return self.polling.lost_at
 
     def delay(self, name):
-        """Give the seconds until a follower's next call may begin."""
+        """Return the seconds until a follower's next call may start."""
         role = self.role()
         now = self.clock()
         with self.lock:
@@ -201,7 +201,7 @@
         return self.polling.has_read(name) and self.polling.is_steady(now)
 
     def wait(self, name):
-        """Begin a call and give the seconds that it waits."""
+        """Register the start of a call and return its long-poll seconds."""
         fleet = self.fleet()
         with self.lock:
             wait = self.polling.wait(name, self.clock(), fleet)
@@ -211,15 +211,15 @@
             return wait
 
     def read(self, follower, position, changed):
-        """Note how far a table was read."""
+        """Record up to which version a table was read."""
         with self.lock:
             follower.advance(position, changed)
 
     def role_changed(self, role):
-        """Note what this router does about the store from now on.
+        """Apply a new role of this router in reading the store.
 
-        Where its readers have lost the store, a call that this router still
-        has under way from before may hang for as long as it may wait.
+        If the readers of its domain have lost the store, a call that this
+        router started before may hang until its timeout, so it is cancelled.
         """
         if role is sharing.Role.ASKS:
             with self.lock:
@@ -229,16 +229,16 @@
             self._wake(self.members)
 
     def read_now(self, names):
-        """Have tables read once although others read them."""
+        """Read tables once although others read them."""
         with self.lock:
             self.wanted.update(names)
         self._wake(names)
 
     def share(self, page, before, is_table):
-        """Tell the routers that leave reading to this one what changed.
+        """Send a change to the routers that rely on this one.
 
-        Not just after trouble: what seems gone then may come back, and each
-        router must judge that by what it has seen of the store itself.
+        Nothing is sent shortly after store errors: entries that are missing
+        then may come back, and each router must judge that by its own calls.
         """
         with self.lock:
             is_steady = self.polling.is_steady(self.clock())
@@ -246,7 +246,7 @@
             self.publish(page, before, is_table)
 
     def take(self, name, changes):
-        """Take in what a reader told; False if something before is missing.
+        """Apply a reader's changes; False if earlier ones are missing.
 
         Parameters
         ----------
@@ -266,7 +266,7 @@
             return True
 
     def confirm(self, name, position, changed=False):
-        """Note that this router knows a table up to a version.
+        """Record that this router knows a table up to a version.
 
         Parameters
         ----------
@@ -281,11 +281,11 @@
                 follower.advance(position, changed)
 
     def position(self, name):
-        """Give the store's version up to which a table is known."""
+        """Return the store version up to which a table is known."""
         return self.members[name].position or 0
 
     def standing(self, is_lost):
-        """Give the `sharing.Standing` of this router.
+        """Return the `sharing.Standing` of this router.
 
         Parameters
         ----------
@@ -300,32 +300,32 @@
         return sharing.Standing.SERVED
 
     def change_pause(self):
-        """Give the seconds to pause after a change."""
+        """Return the seconds to pause after a change."""
         return polling_module.change_pause(self.fleet())
 
     def answered(self, name, changed):
-        """Note an answer, and let the others ask that are in trouble."""
+        """Record an answer, and let followers that are failing retry now."""
         with self.lock:
             woken = self.polling.answered(name, self.clock(), changed)
         self._wake(woken)
 
     def failed(self, name):
-        """Note a call without an answer, and end what may hang as well."""
+        """Record a failed call, and cancel other calls that may hang."""
         fleet = self.fleet()
         with self.lock:
             ended = self.polling.failed(name, self.clock(), fleet)
         self._end(ended)
 
     def suspect_outage(self):
-        """Note a sign that the store may not answer, and ask anew."""
+        """Record a sign of a store outage, and restart waiting calls."""
         with self.lock:
             ended = self.polling.trouble(self.clock())
         self._end(ended)
 
     def told_of_loss(self, lost_at):
-        """Note when another router lost the store, and ask anew.
+        """Record when another router lost the store; restart waiting calls.
 
-        A router that leaves reading to others has no call that could hang.
+        A router that relies on readers has no call that could hang.
         """
         if self.role() is sharing.Role.TOLD:
             return
@@ -334,7 +334,7 @@
         self._end(ended)
 
     def returned(self):
-        """Note that another router is answered again."""
+        """Record that the store answers another router again."""
         with self.lock:
             woken = self.polling.returned(self.clock())
         self._wake(woken)
@@ -349,7 +349,7 @@
 
 
 def _to_nobody(page, before, is_table):
-    """Tell nobody of a page."""
+    """Discard a page; the default of `Followers.publish`."""
 
 
 def make_followers(fleet, role, clock=time.monotonic):
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams in which routers tell their own load and engines just lost."""
+"""UDP gossip in which routers exchange their load and endpoint health."""
 
 __all__ = ['Told', 'Gossip', 'make_gossip']
 
@@ -31,29 +31,64 @@
 
 
 class Told(msgspec.Struct, array_like=True):
-    """What one router tells others.
-
-    `tokens` are its tokens times layers by engine, `dead` engines that it
-    has just found lost, `slow` paces of those that it found slow, `full`
-    those that refuse its requests.  `changed` is the store's version of the
-    last change of endpoints that it knows, `table` the version in force
-    there, `touch` what it knows of the store, `term` the newest of the right
-    to order that it knows.  `held` are start time, first layer and end that
-    engines told it while the store is away.  `lost_ms` are the milliseconds
-    since it last lost the store, None if it never has.
-
-    A release that does not know the later fields ignores them, and what it
-    leaves out has the default: it reads the store by itself and for nobody.
-    `standing` is how the router stands with the store, `link` its VM's link
-    in Mbit/s, `reads` whether it calls the store, `counts` the running
-    routers by domain and the milliseconds since one there said so.
-    `position` and `table_position` are the store's versions up to which it
-    knows endpoints and routing table, `age_ms` the milliseconds since it read
-    the older of both, `changes` packed `changes.Changes` just read.
-    `loads` are the running and waiting requests of endpoints, as these told
-    the router, and the milliseconds since, `back` lost engines that have
-    answered it, `suspects` requests under which endpoints have ended,
-    `limits` the rates that endpoints take from all routers together.
+    """Gossip message of one router.
+
+    Messages are encoded as arrays, so the order of the fields is the format.
+    An older release ignores the fields that it does not know.  Fields that
+    it does not send have their defaults, which describe a router that reads
+    the store for itself only.
+
+    Attributes
+    ----------
+    router : str
+        Id of the sender.
+    tokens : dict of str to int
+        Tokens times layers that the sender has in flight, by engine.
+    dead : list of str
+        Engines that the sender has recently found unreachable.
+    changed : int
+        Store version of the last change of endpoints known to the sender.
+    table : int
+        Version of the routing table in force at the sender.
+    slow : dict of str to float
+        Slowdown factors of the engines that the sender found slow.
+    touch : ordering.StoreTouch
+        The sender's connection to the store.
+    term : int
+        Highest lease term known to the sender.
+    held : dict of str to (int, int, int)
+        Start time, first layer and end of the layers that engines reported
+        to the sender during a store outage.
+    full : list of str
+        Engines that refuse the sender's requests.
+    domain : str
+        The sender's failure domain.
+    lost_ms : int or None
+        Milliseconds since the sender last lost the store, None if never.
+    standing : sharing.Standing
+        Whether the store answers the sender's calls.
+    counts : dict of str to (int, int)
+        Running routers by failure domain, and milliseconds since a router of
+        that domain reported the number.
+    position, table_position : int
+        Store versions up to which the sender knows endpoints and table.
+    age_ms : int
+        Milliseconds since the older of the two was read.
+    changes : bytes
+        Packed `changes.Changes` that the sender has just read.
+    link : float
+        Speed of the link of the sender's VM in Mbit/s, 0 if unknown.
+    reads : bool
+        Whether the sender calls the store.
+    loads : dict of str to (int, int)
+        Outstanding requests that endpoints reported to the sender, and
+        milliseconds since.
+    back : list of str
+        Engines found unreachable that have answered the sender again.
+    suspects : list of suspects.Word
+        Requests during which endpoints have crashed.
+    limits : dict of str to ratelimits.Word
+        Request rates that endpoints accept from all routers together.
     """
 
     router: str
@@ -82,7 +117,7 @@
     limits: dict[str, ratelimits.Word] = {}
 
 
-# What others act upon at once; load and names of routers are not.
+# Fields whose change others act upon at once, unlike load and router names.
 _NEWS = (
     'dead',
     'back',
@@ -94,15 +129,16 @@
     'touch',
     'term',
 )
-# What the whole failure domain is told at once; a change of a table is told
-# to it as it is read.
+# Fields whose change is sent to the whole failure domain at once.  Changes of
+# the tables are not among them: `send_changes` sends them as they are read.
 _URGENT = ('dead', 'back', 'slow', 'full', 'held', 'touch', 'standing')
 
 
 class Gossip:
-    """Sends and receives `Told`.
+    """Sends and receives `Told` datagrams.
 
-    A lost datagram is replaced by the next; nothing is agreed on this way.
+    Each datagram holds the whole state, so the next one makes up for a lost
+    one.  No decision depends on delivery.
 
     Parameters
     ----------
@@ -110,14 +146,14 @@
     view : view.View
     peers : peers.Peers
     tell : callable
-        Takes `directory.HoldingReport` messages.
+        Takes messages for the `directory.Directory`.
     sock : socket.socket
-        Bound, for datagrams.
+        Bound UDP socket.
 
     Attributes
     ----------
     bytes_sent, bytes_received : int
-        In datagrams, without their headers.
+        Payload bytes of the datagrams, without headers.
     """
 
     def __init__(self, settings, view, peers, tell, sock):
@@ -141,33 +177,33 @@
         ]
 
     def start(self):
-        """Start both threads."""
+        """Start the sending and the receiving thread."""
         for thread in self.threads:
             thread.start()
         return self
 
     def stop(self):
-        """Let the threads end."""
+        """Ask both threads to exit and close the socket."""
         self.stopped.set()
         self.wake.set()
         self.socket.close()
 
     def request_send(self):
-        """Look at once whether there is something to tell."""
+        """Wake the sending thread, which sends if anything is due."""
         self.wake.set()
 
     def run(self):
-        """Tell the others, when that is due, until stopped."""
+        """Send messages as they fall due, until stopped."""
         while not self.stopped.is_set():
             self.wake.wait(telling.TICK * self.rng.uniform(0.8, 1.2))
             self.wake.clear()
             try:
                 self._send()
             except OSError as error:
-                LOG.debug('gossip not sent: %s', error)
+                LOG.debug('sending gossip failed: %s', error)
 
     def _told(self, now):
-        """Give what this router has to tell now."""
+        """Build the message that describes this router now."""
         with self.view.lock:
             book = self.view.book
             tokens = {n: int(each) for n, each in book.own().items()}
@@ -197,8 +233,8 @@
             lost_ms=self._lost_ms(now),
             standing=own.standing,
             counts=self.peers.hearing.counts_to_tell(now),
-            # Not how far this router has read, which may not be in force
-            # yet: others would take what it has just read for known.
+            # The version in force, not the one read: what was just read may
+            # not be applied yet, and receivers would take it for known.
             position=snapshot.position,
             table_position=snapshot.table_position,
             age_ms=int((now - read_at) * SECOND_MS),
@@ -211,9 +247,10 @@
         )
 
     def _old_share(self):
-        """Give how often this router tells its domain what is old.
+        """Give the share of messages that repeat old suspects and limits.
 
-        So often that each router hears it from some of the others each time.
+        Each router of the domain still receives every old entry from a few
+        of the others (`telling.OLD_TELLERS`) per round.
         """
         others = self.peers.others()
         near = sum(1 for each in others if self.peers.is_near(each.name))
@@ -241,7 +278,16 @@
         self._send_to([rows[name] for name in names], told)
 
     def _in_domains_of(self, engines, far, rows):
-        """Give the far routers whose engines this router's requests use."""
+        """Give the routers in the domains of the engines given.
+
+        Parameters
+        ----------
+        engines : iterable of str
+            Engines that this router's requests use.
+        far : list of str
+            Routers in other failure domains.
+        rows : dict of str to ports.RouterRow
+        """
         endpoints = self.view.snapshot.endpoints
         domains = {
             endpoints[name].failure_domain
@@ -261,14 +307,13 @@
             self.bytes_sent += len(data)
 
     def tell_changes(self, page, before, is_table):
-        """Tell the routers of this domain what has just been read.
+        """Send what has just been read to the routers of this domain.
 
         Parameters
         ----------
         page : ports.Page
         before : int
-            The store's version from which on nothing changed before the
-            page.
+            Store version after which nothing changed until the page.
         is_table : bool
         """
         near = [r for r in self.peers.others() if self.peers.is_near(r.name)]
@@ -295,7 +340,7 @@
         try:
             self._send_to(near, told)
         except OSError as error:
-            LOG.debug('changes not sent: %s', error)
+            LOG.debug('sending changes failed: %s', error)
 
     def _lost_ms(self, now):
         lost_at = self.peers.followers.lost_at
@@ -310,7 +355,7 @@
                 self.bytes_received += len(data)
                 told = msgspec.msgpack.decode(data, type=Told)
             except OSError as error:
-                LOG.debug('gossip not received: %s', error)
+                LOG.debug('receiving gossip failed: %s', error)
                 self.stopped.wait(telling.TICK)
                 continue
             except msgspec.MsgspecError as error:
@@ -319,13 +364,13 @@
             self.take(told, source)
 
     def take(self, told, source):
-        """Take in what another router tells.
+        """Apply a message of another router.
 
         Parameters
         ----------
         told : Told
         source : (str, int)
-            Address that the datagram came from.
+            Address of the sender.
         """
         now = self.view.clock()
         with self.view.lock:
@@ -391,7 +436,7 @@
             )
 
     def _hear(self, told, address, now):
-        """Note that a router runs, and what it says of the fleet."""
+        """Record that a router runs, and the router counts that it sent."""
         heard = hearing.Heard(
             name=told.router,
             domain=told.domain,
@@ -405,9 +450,10 @@
         self.peers.hearing.take_counts(told.counts, told.domain, now)
 
     def _take_changes(self, told):
-        """Apply what a reader has just read, unless this router missed some.
+        """Apply changes that the sender has just read from the store.
 
-        What is missing shows in the versions that others tell.
+        They are dropped if this router has missed earlier ones, which it
+        detects from the versions in others' messages.
         """
         try:
             changes = changes_module.unpack(told.changes)
@@ -431,7 +477,10 @@
         )
 
     def _confirm(self, told):
-        """Note what a router of this domain that is served knows."""
+        """Record the versions of a sender that the store answers.
+
+        Only routers of the same failure domain count.
+        """
         if not self.peers.is_near(told.router):
             return
         snapshot = self.view.snapshot
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -1,4 +1,4 @@
-"""What routers tell each other, and whom they know."""
+"""Known peer routers, and fetching state from them when behind."""
 
 __all__ = ['State', 'Peers', 'make_peers']
 
@@ -30,20 +30,20 @@
 ENDPOINTS = 'endpoints'
 CONNECT_TIMEOUT = 0.15
 READ_TIMEOUT = 0.3
-# The list of routers is read at the start, again a little later, and when
-# nobody was heard for so many seconds; routers that come later make
-# themselves known.
+# Seconds between reads of the list of routers: after the first read, and
+# while no peer has been heard from.  Routers that start later announce
+# themselves by gossip.
 LIST_AGAIN = 3.0
 ALONE_AFTER = 12.0
 TICK = 0.1
 
 
 class State(msgspec.Struct):
-    """What a router knows, with the ages of both parts in seconds.
+    """Routing state that one router serves to another.
 
-    `table` is left out where the asker has that version already.  `position`
-    and `table_position` are the store's versions up to which endpoints and
-    table are known.
+    `table` is None if the requester has that version already.  `position`
+    and `table_position` are the store versions up to which endpoints and
+    table are known; ages are in seconds.
     """
 
     version: int
@@ -56,11 +56,11 @@
 
 
 class Peers:
-    """Asks other routers while the store does not answer this one.
+    """Keeps track of peer routers and fetches state from them.
 
-    The store may turn away some routers and serve the others.  One that is
-    turned away would go on with a revoked key or a leaving endpoint, while
-    a peer next to it knows better.
+    The store may refuse some routers and serve others.  A refused router
+    would keep accepting a revoked key, or keep using an endpoint that is
+    leaving, although its peers have newer state.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
     tell : callable
         Takes `directory.Read` messages.
     followers : following.Followers
-        Told what other routers say of the store.
+        Notified of what other routers report of the store.
     """
 
     def __init__(self, settings, view, rows, tell, followers):
@@ -98,11 +98,11 @@
         return self
 
     def stop(self):
-        """Let the thread end."""
+        """Ask the thread to exit."""
         self.stopped.set()
 
     def state_for(self, version):
-        """Give what this router knows to one that has a version."""
+        """Return the state for a peer that has a version of the table."""
         now = self.view.clock()
         snapshot = self.view.snapshot
         table = None
@@ -119,14 +119,14 @@
         )
 
     def heard(self, heard, address, lost_ms=None):
-        """Note a datagram of another router.
+        """Record a datagram of another router.
 
         Parameters
         ----------
         heard : hearing.Heard
         address : str
         lost_ms : int or None
-            Milliseconds since it last lost the store, None if it never has.
+            Milliseconds since it last lost the store, None if never.
         """
         before = self.hearing.take(heard)
         if lost_ms is not None:
@@ -141,23 +141,24 @@
             )
 
     def behind(self, name, now, versions=None):
-        """Note that another router knows something newer."""
+        """Record that another router has newer state."""
         self.catchup.behind(name, now, self.is_near(name), versions)
 
     def is_near(self, name):
         """Whether a router is in this one's failure domain.
 
-        What it tells then crosses no link between domains, which are dear.
+        Traffic to such a router uses no link between domains; those links
+        are expensive.
         """
         row = self.known.get(name)
         return row is not None and row.domain == self.settings.failure_domain
 
     def running_count(self, now):
-        """Give how many routers seem to run, this one included."""
+        """Return the estimated number of running routers with this one."""
         return sum(self.hearing.counts(now).values())
 
     def own_standing(self):
-        """Give how this router stands with the store, as others are told.
+        """Return this router's store status as sent to other routers.
 
         Returns
         -------
@@ -172,7 +173,7 @@
         )
 
     def role(self):
-        """Give what this router does about the store.
+        """Return this router's role in reading the store.
 
         Returns
         -------
@@ -191,7 +192,7 @@
             self.followers.role_changed(found)
 
     def polling_slot(self):
-        """Give this router's place among those that call the store.
+        """Return this router's rank among those that call the store.
 
         Returns
         -------
@@ -209,7 +210,7 @@
         return sharing.place(self.settings.failure_domain, len(before), counts)
 
     def store_statuses(self, now):
-        """Give what the routers heard lately know of the store.
+        """Return the store status of each router heard from lately.
 
         Returns
         -------
@@ -218,15 +219,15 @@
         return self.hearing.touches(now)
 
     def max_routers(self, now):
-        """Give how many routers there may be, this one included.
+        """Return an upper estimate of the number of running routers.
 
-        One that has just started has heard nobody yet, but has read the
-        rows of those that ever ran.
+        A router that has just started has received no gossip yet, but has
+        read the rows of all routers that ever ran.
         """
         return max(self.running_count(now), len(self.others()) + 1)
 
     def run(self):
-        """Ask others, when that is due, until stopped."""
+        """Update role and state until stopped."""
         while not self.stopped.wait(TICK * self.rng.uniform(0.8, 1.2)):
             now = self.view.clock()
             try:
@@ -238,7 +239,7 @@
                 LOG.exception('peers_failed')
 
     def _catch_up(self, now):
-        """Get what others know already, if it does not come by itself."""
+        """Fetch newer state of others if it has not arrived by gossip."""
         known = self.catchup
         snapshot = self.view.snapshot
         position = max(snapshot.changed, snapshot.position)
@@ -259,14 +260,15 @@
                 age_ms=round(self._age(now) * SECOND_MS),
             )
             if asks_store:
-                # The list of endpoints is long; the store gives the changes.
+                # The store returns only the changes; a peer would return
+                # the whole list of endpoints, which is long.
                 self.followers.read_now((TABLE, ENDPOINTS))
             else:
                 self._ask_one()
         known.forget(now, is_told)
 
     def _age(self, now):
-        """Give the seconds since the older of both tables was read."""
+        """Return the seconds since the older of both tables was read."""
         snapshot = self.view.snapshot
         return now - min(snapshot.table_read_at, snapshot.endpoints_read_at)
 
@@ -277,14 +279,14 @@
         self._list(now)
 
     def _list(self, now):
-        """Write the own row once, and read those of the others."""
+        """Write this router's row once, and read the rows of all."""
         try:
             if not self.written:
                 self.rows.write_router(self._own_row())
                 self.written = True
             rows = self.rows.read_routers()
         except exceptions.IbisringError as error:
-            LOG.debug('routers not read: %s', error.detail)
+            LOG.debug('reading the list of routers failed: %s', error.detail)
             self.list_at = now + 1.0
             return
         again = now + ALONE_AFTER if self.known else now + LIST_AGAIN
@@ -304,7 +306,7 @@
         )
 
     def others(self):
-        """Give the rows of the other routers."""
+        """Return the rows of the other routers."""
         own = self.settings.router_id
         known = list(self.known.items())
         return [row for name, row in known if name != own]
--- a/packages/gateway/ibisring_gateway/view.py
+++ b/packages/gateway/ibisring_gateway/view.py
@@ -1,7 +1,7 @@
-"""What a router knows now: endpoints, routing table, load.
+"""State that a router shares among its threads: endpoints, table, load.
 
-Actors change it; the threads that serve callers read it.  A snapshot is
-replaced whole, never changed, so that reading it takes no lock.
+Actors update it and the threads that serve callers read it.  Snapshots are
+immutable and replaced as a whole, so that reading them takes no lock.
 """
 
 __all__ = ['Snapshot', 'View', 'make_view']
@@ -16,19 +16,38 @@
 from ibisring_policy.gateway import suspects
 import msgspec
 
-# Seconds for which other routers are told what an engine said: of 83, each
-# of which tells six others four times a second, most are reached.
+# Seconds for which an engine's report is included in gossip.  Of 83 routers,
+# each sending to six others four times a second, most receive it.
 LEARNT_TOLD_FOR = 3.0
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Endpoints and routing table as of some moment.
+    """Endpoints and routing table at some moment.
 
-    `index` is a `routetable.Index` or None before a table was read;
-    `position` is the store's version that the endpoints are of, `changed` the
-    one at which they last changed, `table_position` the one up to which the
-    table is known, `known_since` when endpoints were first read;
-    `store_lost_at` is None while the store answers.  Times are monotonic.
+    Times are monotonic.
+
+    Attributes
+    ----------
+    index : routetable.Index or None
+        None until a table has been read.
+    endpoints : dict of str to routing.Endpoint
+        Usable endpoints by id.
+    by_service : dict of str to list of routing.Endpoint
+        Those ready for requests, by service.
+    table_read_at, endpoints_read_at : float
+        When the store was read.
+    endpoints_known : bool
+        Whether endpoints have been read.
+    known_since : float
+        When endpoints were first read.
+    position : int
+        Store version of the endpoints.
+    changed : int
+        Store version at which endpoints last changed.
+    table_position : int
+        Store version up to which the table is known.
+    store_lost_at : float or None
+        Since when the store has not answered, None while it does.
     """
 
     index: object = None
@@ -45,24 +64,24 @@
 
     @property
     def version(self):
-        """Version of the routing table, 0 before one was read."""
+        """Version of the routing table, 0 if none has been read."""
         return self.index.table.version if self.index else 0
 
 
 class View:
-    """Holds the present `Snapshot` and the book of beliefs.
+    """Current `Snapshot` and the load and health estimates of endpoints.
 
     Attributes
     ----------
     lock : threading.Lock
         Guards `book`, `suspects`, `limits` and `fairness`.
     term : int
-        The newest of the right to order that this router knows.
+        Highest lease term known to this router.
     lease_lost_at : float or None
-        Since when the store has refused to say who holds the lease.
+        Since when access to the lease in the store has failed.
     reported_holdings : dict of str to (float, int, routing.Holding or None)
-        What engines told this router while the store is away: when, their
-        start time, what they hold.
+        Reports of engines during a store outage: time of the report, start
+        time of the engine, its layers.
     """
 
     def __init__(self, domain='', clock=time.monotonic, name=''):
@@ -79,7 +98,7 @@
         self.reported_holdings = {}
 
     def holdings_to_send(self, now):
-        """Give what engines told lately: start, first layer and end."""
+        """Return recent reports: start time, first layer and end by engine."""
         found = {}
         for name, (at, started, held) in list(self.reported_holdings.items()):
             if now - at < LEARNT_TOLD_FOR:
@@ -91,15 +110,15 @@
     def store_lost_at(self):
         """When the store stopped answering this router, None while it does.
 
-        A call that waits for changes may go silent for seconds when the
-        store goes away; one that asks for the lease fails at once.
+        In an outage a long poll for changes may hang for seconds before it
+        fails, while a read of the lease fails at once.
         """
         times = (self.snapshot.store_lost_at, self.lease_lost_at)
         return min((at for at in times if at is not None), default=None)
 
     @property
     def store_status(self):
-        """What this router knows of the store."""
+        """State of this router's connection to the store."""
         if not self.is_ready:
             return ordering.StoreTouch.NOTHING
         if self.store_lost_at is not None:
@@ -108,7 +127,7 @@
 
     @property
     def is_ready(self):
-        """Whether requests can be routed at all."""
+        """Whether the table and the endpoints have been read."""
         now = self.snapshot
         return now.index is not None and now.endpoints_known
 
--- a/packages/gateway/ibisring_gateway/watching.py
+++ b/packages/gateway/ibisring_gateway/watching.py
@@ -1,4 +1,4 @@
-"""One thread that ends attempts whose caller left or whose time is up."""
+"""Thread that ends attempts when the caller disconnects or time runs out."""
 
 __all__ = ['Attempt', 'Watcher', 'make_watcher']
 
@@ -11,10 +11,10 @@
 from ibisring_policy.gateway import attempts
 
 LOG = logging.getLogger(__name__)
-# A caller's leaving shows at once.  The thread sleeps until some attempt is
-# next due, within these bounds in seconds: at most a little less than the
-# shortest time after which a stream that has just had an event is looked at,
-# so that an attempt which comes while it sleeps is not late.
+# Bounds in seconds of the sleep until the next attempt is due; a disconnect
+# of a caller ends the sleep at once.  The upper bound is a little less than
+# the shortest time from an event of a stream to its next check, so that an
+# attempt added during the sleep is still checked on time.
 LEAST_SLEEP = 0.005
 MOST_SLEEP = 0.05
 IDLE_SLEEP = 1.0
@@ -22,16 +22,34 @@
 
 
 class Attempt:
-    """One sending of a request to an endpoint.
+    """One attempt to run a request at an endpoint.
 
     Attributes
     ----------
     end : attempts.End or None
-        Why the watcher broke it off.
+        Why this router ended the attempt.
+    deadline : float
+        Monotonic time at which the attempt is given up.
+    check_at : float or None
+        Monotonic time of the next check of its stages if no event arrives.
+    sent_at, last_event_at : float
+        Monotonic times.
+    checks : int
+        Checks of its stages since the last event.
+    looking : bool
+        Whether its stages are being checked.
+    mean_gap : float
+        Moving average of the seconds between events.
+    events : int
+        Events received.
+    tokens : float
+        Size in tokens, as reserved at its stages.
+    moves : int
+        Times that it was moved off stages that were leaving.
+    stuck : set of str or None
+        Leaving stages that it could not be moved off.
     may_change_endpoint : bool
         Whether the request may still go to another first endpoint.
-    deadline, check_at : float
-        Monotonic seconds: when to give up, and when to look at its stages.
     """
 
     __slots__ = (
@@ -74,10 +92,10 @@
         self.may_change_endpoint = True
 
     def break_off(self, end):
-        """End the attempt; the thread that reads it wakes up.
+        """End the attempt and wake the thread that reads its answer.
 
-        Shutting the socket down is what wakes a thread that is blocked in a
-        read of it; closing it would not.
+        Shutting the socket down wakes a thread that is blocked reading from
+        it; closing it would not.
         """
         if self.end is None:
             self.end = end
@@ -90,12 +108,12 @@
 
 
 class Watcher:
-    """Watches callers' sockets and the times of attempts.
+    """Watches callers' sockets and the deadlines of attempts.
 
     Parameters
     ----------
     on_silence : callable
-        Called with an attempt that has been silent for too long.
+        Called with an attempt whose `check_at` has passed.
     clock : callable
     """
 
@@ -117,7 +135,7 @@
         return self
 
     def stop(self):
-        """End the thread."""
+        """Ask the thread to exit."""
         self.stopped = True
         self.wake_writer.send(b'x')
 
@@ -134,18 +152,18 @@
             self.wake_writer.send(b'x')
 
     def remove(self, caller_socket):
-        """Stop watching; the caller's socket is still open."""
+        """Stop watching an attempt; the caller's socket must be open."""
         fd = caller_socket.fileno()
         with self.lock:
             if self.by_fd.pop(fd, None) is not None:
                 self._unregister(fd)
 
     def count(self):
-        """Give how many attempts are under way."""
+        """Return the number of attempts being watched."""
         return len(self.by_fd)
 
     def all(self):
-        """Give the attempts under way."""
+        """Return the attempts being watched."""
         with self.lock:
             return list(self.by_fd.values())
 
@@ -162,7 +180,7 @@
             self.look(self.clock())
 
     def sleep(self, now):
-        """Give the seconds until an attempt is next due."""
+        """Return the seconds until an attempt is next due."""
         if not self.by_fd:
             return IDLE_SLEEP
         dues = [now + MOST_SLEEP]
@@ -183,7 +201,7 @@
             attempt.break_off(attempts.End.CALLER_GONE)
 
     def look(self, now):
-        """Break off what is out of time; report what is silent."""
+        """Abort attempts past their deadline; report silent ones."""
         for attempt in self.all():
             if now >= attempt.deadline:
                 attempt.break_off(attempts.End.DEADLINE)
