--- a/packages/gateway/ibisring_gateway/tests/schedules.py
+++ b/packages/gateway/ibisring_gateway/tests/schedules.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run in virtual time, and when."""
+"""Schedules of changes and failures for runs in virtual time."""
 
 __all__ = ['Trouble', 'Change', 'Schedule', 'draw', 'draw_large']
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-# What may go wrong: the store for all routers or for some; one router.
+# Kinds of failures: of the store, for all routers or some; of routers.
 STORE_KINDS = ('silent', 'reset', 'busy', 'old', 'lost')
 ROUTER_KINDS = (
     'unreachable',
@@ -17,17 +17,16 @@
     'lossy',
 )
 KINDS = STORE_KINDS + ROUTER_KINDS
-# The tables of the store.
 TABLE = 'table'
 ENDPOINTS = 'endpoints'
-# Seconds that are played after the last change or trouble.
+# Seconds that a run continues after the last change or failure.
 AFTER = 8.0
 
 
 class Trouble(msgspec.Struct, frozen=True):
-    """Something that goes wrong, from `at` on, for `lasts` seconds.
+    """A failure that starts at `at` and lasts `lasts` seconds.
 
-    `who` are numbers of routers; none means all.
+    `who` are the numbers of the affected routers; empty means all.
     """
 
     kind: str
@@ -37,23 +36,23 @@
 
     @property
     def ends(self):
-        """When it is over."""
+        """When the failure is over."""
         return self.at + self.lasts
 
     def strikes(self, number):
-        """Say whether it is about a router."""
+        """Return whether a router is affected."""
         return not self.who or number in self.who
 
 
 class Change(msgspec.Struct, frozen=True):
-    """The operator, or an endpoint, writes at a time."""
+    """A write to a table, by the operator or an endpoint."""
 
     at: float
     source: str
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """What happens in a run; times are seconds from its start."""
+    """Events of a run; times are seconds from its start."""
 
     routers: int
     changes: tuple[Change, ...]
@@ -71,7 +70,7 @@
 
 
 def draw(seed):
-    """Draw a schedule: troubles in series and overlapping, many changes."""
+    """Draw a schedule of many changes and failures that may overlap."""
     rng = random.Random(seed)
     routers = rng.randint(3, 7)
     troubles = []
@@ -91,10 +90,10 @@
 
 
 def draw_large(seed, least=9, most=24, domains=3):
-    """Draw a schedule for more routers than read the store.
+    """Draw a schedule with more routers than read the store.
 
-    Trouble of some routers strikes a few, a tenth or a third of them; half of
-    the time those of one failure domain whose names come first, which read.
+    Failures of some routers affect one, two, a tenth or a third of them; half
+    of the time the first names of one failure domain, which are its readers.
     """
     schedule = draw(seed)
     rng = random.Random(seed + 1)
--- a/packages/gateway/ibisring_gateway/tests/test_changes.py
+++ b/packages/gateway/ibisring_gateway/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Tests of changes that one router tells another."""
+"""Tests of encoding changes that one router sends to another."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 
 def test_a_change_of_another_table_is_not_taken():
-    """Failure: a router missed the version that a change is based on."""
+    """Failure: a change is applied to a version other than its base."""
     page = ports.Page(9, [build.table(4)], 9)
     found = _sent(changes.table_changes(page, 5, build.table(3)))
     assert found.items(build.table(2)) is None
@@ -37,7 +37,10 @@
 
 @pytest.mark.parametrize('link, is_told', ((10.0, False), (1000.0, True)))
 def test_a_page_that_would_fill_the_link_is_not_told(link, is_told):
-    """Load: 221 endpoints that come at once, told to 38 routers."""
+    """Failure: many endpoints that start at once saturate the link.
+
+    Seen with 221 endpoints sent to 38 routers.
+    """
     endpoints = [build.endpoint(f'{n * 7919 ** 3}') for n in range(1000)]
     found = changes.endpoint_changes(ports.Page(9, endpoints), 5)
     assert bool(changes.pack(found, 38, link)) is is_told
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of what is in force and which endpoints are known."""
+"""Tests of the endpoints and the routing table in force."""
 
 from ibisring_gateway import directory
 from ibisring_gateway import ports
@@ -35,11 +35,10 @@
 
 
 def test_an_older_table_never_comes_back():
-    """Symptom: a revoked key works again for a moment.
+    """Failure: a revoked key works again for a moment.
 
-    Sequence: a router reads version 9; a peer that is behind, or a store
-    that answers with an old state, shows version 8.
-    Cause: whatever was read last was put in force.
+    After version 9, a peer that is behind or a store with stale state
+    returns version 8, and whatever was read last is put in force.
     """
     actor, view, _ = _directory()
     _table(actor, 9)
@@ -69,10 +68,10 @@
 
 
 def test_a_peer_that_is_behind_brings_nothing_back():
-    """Symptom: an engine that left comes into chains again.
+    """Failure: an engine that has left is used in chains again.
 
-    Sequence: it is removed; a peer that has not read this yet is asked.
-    Cause: the peer's list was judged by its age, not by its version.
+    It is removed, and a peer that has not read this yet returns its list,
+    which is accepted by its age instead of its version.
     """
     actor, view, _ = _directory()
     both = [build.endpoint('x'), build.endpoint('y')]
@@ -86,11 +85,11 @@
 
 @pytest.mark.parametrize('whole', (True, False))
 def test_an_old_answer_of_the_store_brings_nothing_back(whole):
-    """Symptom: a leaving endpoint gets requests again for a moment.
+    """Failure: a leaving endpoint gets requests again for a moment.
 
-    Sequence: a router stands still with an answer on its way; it wakes,
-    another router tells it of a newer state, and then it reads the answer.
-    Cause: what the store said was put in force whatever it was of.
+    A router is suspended while an answer of the store is in transit.  It
+    resumes, receives newer state from a peer, and then reads the answer,
+    which is put in force regardless of its version.
     """
     actor, view, _ = _directory()
     ready = build.endpoint('x')
@@ -122,11 +121,10 @@
 
 
 def test_an_engine_is_believed_of_itself_only_while_the_store_is_away():
-    """Symptom: layers loaded in an outage are used only after it.
+    """Failure: layers loaded during a store outage are used only after it.
 
-    Sequence: the store is away; an engine is ordered to hold other layers
-    and has them; its entry can't change.
-    Cause: what engines hold was known from their entries only.
+    An engine loads layers that it was ordered to hold, but its store entry,
+    the only source of its layers, can't change.
     """
     actor, view, changes = _directory()
     _endpoints(actor, [build.held_endpoint('x', 0, 8, started=3)])
@@ -148,11 +146,11 @@
 
 
 def test_what_did_not_come_back_is_dropped_in_time():
-    """Symptom: a request reaches an engine 2.5 s after it said it leaves.
+    """Failure: a request reaches an engine 2.5 s after it announced leaving.
 
-    Sequence: an entry is missing after an outage and may come back within
-    2.2 s; it does not; no change comes from the store for a second more.
-    Cause: the time was looked at only when the store told something.
+    Its entry is missing after an outage and may come back within 2.2 s.
+    The end of that time is checked only when the store reports a change,
+    which takes a second more.
     """
     clock = builders.Clock()
     actor, view, _ = _directory()
@@ -169,11 +167,10 @@
 
 
 def test_each_table_of_the_store_is_told_lost_and_regained(monkeypatch):
-    """Symptom: the log says that the store is back, and nothing is new.
+    """Failure: the log reports the store as back while one table is stale.
 
-    Sequence: both calls that follow the store fail; one is answered again
-    a second before the other.
-    Cause: the lines did not say which of the two they were about.
+    The calls for both tables fail, and one is answered again a second before
+    the other; the log lines don't say which.
     """
     lines = []
     monkeypatch.setattr(
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -1,4 +1,4 @@
-"""Tests of finding lost stages and going round them."""
+"""Tests of detecting lost stages and rerouting around them."""
 
 import time
 
@@ -30,7 +30,7 @@
 
 
 class Scene:
-    """A doctor with an attempt over engines `h`, `m` and `t`."""
+    """A stall handler with an attempt over engines `h`, `m` and `t`."""
 
     def __init__(self, *spares):
         self.engines = builders.Engines()
@@ -55,7 +55,7 @@
         self.attempt = self.new_attempt('r1')
 
     def new_attempt(self, name):
-        """Give an attempt that has delivered events."""
+        """Return an attempt that has delivered events."""
         stages = tuple(
             chains.Stage(e.id, e.address, e.holding.first, e.holding.end)
             for e in self.chain
@@ -69,7 +69,7 @@
         return attempt
 
     def replace(self, name, **changes):
-        """Change an endpoint as its entry would."""
+        """Change an endpoint as an update of its entry would."""
         fields = {
             f: getattr(self.view.snapshot.endpoints[name], f)
             for f in routing.Endpoint.__struct_fields__
@@ -80,7 +80,7 @@
         self.view.snapshot = builders.view_of(list(found.values())).snapshot
 
     def settle(self):
-        """Wait for the doctor's threads."""
+        """Wait for the handler's threads."""
         self.doctor.pool.shutdown(wait=True)
 
 
@@ -114,11 +114,9 @@
 
 
 def test_a_stream_is_not_cut_while_no_other_chain_has_room():
-    """Symptom: callers get half a stream and its connection closed.
+    """Failure: a stream is cut off although no other chain can take it over.
 
-    Sequence: a stage is lost; no engine holds its layers; the stream is
-    ended although nobody else could take it.
-    Cause: the end came before the question who would go on.
+    A stage is lost and no other engine holds its layers.
     """
     scene = Scene()
     scene.engines.dead.add('m:1')
@@ -138,11 +136,11 @@
 
 
 def test_an_event_that_was_under_way_vouches_for_nothing(scene):
-    """Symptom: streams pause for 0.3 s though a lost stage shows in 0.1 s.
+    """Failure: streams pause for 0.3 s though 0.1 s suffice to find the stage.
 
-    Sequence: a stage dies; events that had passed it still come for other
-    requests; the first look asks nobody, and the next comes 0.1 s later.
-    Cause: any later event vouched for all stages of its chain.
+    A stage dies, and events that had already passed it still arrive for
+    other requests.  They count as proof that all stages of their chains are
+    alive, so the first check queries none, and the next is 0.1 s later.
     """
     scene.engines.dead.add('m:1')
     scene.attempt.mean_gap = 0.04
@@ -155,11 +153,10 @@
 
 
 def test_many_silent_requests_ask_each_stage_once(scene):
-    """Symptom: every stage of a site seems lost at once.
+    """Failure: every stage of a site seems lost at once.
 
-    Sequence: an engine dies; thirty requests fall silent together; those
-    who wait for answers take all threads, and nobody asks.
-    Cause: waiting and asking shared one pool of threads.
+    An engine dies and thirty requests fall silent together.  Their checks
+    take all threads of a pool shared with the queries that they wait for.
     """
     scene.engines.dead.add('m:1')
     others = [scene.new_attempt(f'q{n}') for n in range(40)]
@@ -192,12 +189,11 @@
 
 
 def test_a_stage_that_was_given_up_is_replaced_with_the_lost_one():
-    """Symptom: 659 of 788 moves off lost stages are refused.
+    """Failure: 659 of 788 moves off lost stages are refused.
 
-    Sequence: an engine is ordered to other layers and waits for the
-    requests in it; another engine of their chains is lost.
-    Cause: only the lost stage was replaced; a path with a stage that is not
-    there any more is refused.
+    An engine that was ordered to hold other layers waits for its requests,
+    and another engine of their chains is lost.  If only the lost stage is
+    replaced, the path still has the stage that was given up and is refused.
     """
     scene = Scene(
         _engine('m2', 8, 16, card='small'), _engine('t2', 16, 24, card='small')
@@ -212,12 +208,11 @@
 
 @pytest.mark.parametrize('given_up', ('h', 't'))
 def test_requests_end_at_an_engine_that_waits_for_them(given_up):
-    """Symptom: a failure domain lacks four layers for ten seconds.
+    """Failure: a failure domain lacks four layers for ten seconds.
 
-    Sequence: a spare engine is ordered to hold them; a request passes
-    through it that can't be moved, for want of another holder of the layers
-    given up; the engine loads nothing until the request has ended.
-    Cause: requests were moved or left, never started again elsewhere.
+    A spare engine is ordered to hold them, but loads nothing until a request
+    has ended that passes through it.  The request can't be moved, as no other
+    engine holds the layers given up, and isn't restarted elsewhere.
     """
     others = [
         _engine('h2', 0, 40, card='big'),
@@ -229,7 +224,7 @@
         (others[1:], True, None),
     ):
         scene = Scene(*spares)
-        # Keeps the stage from being replaced behind the same first one.
+        # Makes the engine refuse a replacement of stages.
         scene.engines.result = ports.OrderResult.CONFLICT
         scene.replace(given_up, holding=None)
         scene.attempt.may_change_endpoint = may_change_endpoint
@@ -240,11 +235,11 @@
 
 
 def test_tries_without_another_engine_use_up_no_moves():
-    """Symptom: a spare engine waits seconds for the requests in it.
+    """Failure: a spare engine waits seconds for the requests in it.
 
-    Sequence: one stage leaves and has no other holder; each look tries to
-    move the request; then another stage is to be emptied.
-    Cause: three tries that could not succeed had used up its moves.
+    One stage leaves and no other engine holds its layers.  Each check tries
+    to move the request, and three failed tries use up its moves, so that it
+    can't be moved when another stage has to be emptied.
     """
     scene = Scene()
     scene.replace('m', state=routing.State.DRAINING)
@@ -265,11 +260,11 @@
 
 
 def test_an_engine_that_answers_late_comes_back(scene):
-    """Symptom: a fifth of the requests is refused though all engines live.
+    """Failure: a fifth of the requests is refused though all engines run.
 
-    Sequence: an engine answers its status after 50 ms for a while; streams
-    that wait 200 ms are moved off it; it is asked again.
-    Cause: it had to answer that within the same 35 ms.
+    An engine answers status queries after 50 ms for a while.  Streams are
+    moved off it, and the probe that would bring it back has the same timeout
+    of 35 ms.
     """
     scene.engines.late['t:1'] = 0.05
     scene.view.book.unreachable('t', time.monotonic() - 10.0)
@@ -280,11 +275,11 @@
 
 
 def test_engines_that_answer_late_are_not_taken_for_lost_again(scene):
-    """Symptom: soak seed 305: engines are taken for lost in turn for ever.
+    """Failure: on a busy machine engines are taken for lost again and again.
 
-    Sequence: on a busy machine engines answer their status after 50 ms; one
-    is taken for lost, comes back, falls silent for a moment, is lost again.
-    Cause: the limit was 35 ms whatever answers took.
+    They answer status queries after 50 ms.  One is taken for lost, comes
+    back, is silent for a moment and is taken for lost again, if the timeout
+    stays at 35 ms however long answers take.
     """
     for name in ('h:1', 'm:1', 't:1', 'm2:1'):
         scene.engines.late[name] = 0.05
--- a/packages/gateway/ibisring_gateway/tests/test_following.py
+++ b/packages/gateway/ibisring_gateway/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of following a source that fails."""
+"""Tests of following a source whose calls fail."""
 
 import threading
 
@@ -16,7 +16,7 @@
 
 
 class _Source(ports.Source):
-    """Gives errors in turn, then answers; notes how it was asked."""
+    """Raises errors in turn, then answers; records the calls."""
 
     def __init__(self):
         self.errors = []
@@ -54,7 +54,7 @@
 
 
 def test_a_router_that_serves_goes_on_where_it_was():
-    """Everything is read once; what failed is asked for again, in short."""
+    """After a failed call a short poll follows, not another full read."""
     followers, told = _followers()
     table = followers.members['table']
     table.step()
@@ -68,11 +68,10 @@
 
 
 def test_a_failure_ends_the_call_that_may_hang():
-    """Symptom: endpoints are followed again, routes are old for seconds.
+    """Failure: endpoints are current again, but routes stay old for seconds.
 
-    Sequence: the store falls silent; one call ends and the next one is
-    answered; the other was begun in the silence too.
-    Cause: each call was left to its own timeout.
+    The store stops answering during two calls.  One times out and its retry
+    is answered, while the other hangs until its own timeout.
     """
     followers, _ = _followers()
     table, endpoints = followers.members.values()
@@ -105,11 +104,10 @@
 
 
 def test_what_decides_may_ask_how_the_router_stands():
-    """Symptom: a router that lost the store once never calls it again.
+    """Failure: deadlock, after which a router never calls the store again.
 
-    Sequence: a call fails; its follower notes that under the lock, and asks
-    for this router's place, which depends on how it stands with the store.
-    Cause: how it stands is read under the same lock.
+    When a call fails, the follower holds the lock while it gets the router's
+    polling slot, which depends on the store status read under the same lock.
     """
     followers, _ = _followers()
 
@@ -128,11 +126,11 @@
 
 
 def test_a_call_from_before_does_not_hang_when_the_readers_lost_the_store():
-    """Symptom: a router knows of the store's return nine seconds late.
+    """Failure: a router notices the store's return nine seconds late.
 
-    Sequence: it leaves reading to others with a call under way; the store
-    falls silent; its readers say so.
-    Cause: only a call that begins was made short.
+    It becomes dependent on readers while its own long poll is running.  The
+    store stops answering and the readers report that, but only calls started
+    afterwards are made short.
     """
     followers, _ = _followers()
     for follower in followers.members.values():
--- a/packages/gateway/ibisring_gateway/tests/test_gossip.py
+++ b/packages/gateway/ibisring_gateway/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of the datagrams between routers of two releases."""
+"""Tests of gossip messages, also between routers of two releases."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class _Older(msgspec.Struct, array_like=True):
-    """What a release tells that reads the store for itself only."""
+    """Message of an older release, which reads the store for itself only."""
 
     router: str
     tokens: dict[str, int]
@@ -48,7 +48,7 @@
 
 
 def test_an_older_release_reads_for_nobody():
-    """Failure: a router waits for changes that its neighbour never tells."""
+    """Failure: a router waits for changes that an older peer never sends."""
     data = msgspec.msgpack.encode(_Older('a', {}, [], domain='d', touch=2))
     told = msgspec.msgpack.decode(data, type=gossip.Told)
     neighbour = sharing.Neighbour(told.router, told.standing, told.link)
@@ -57,7 +57,7 @@
 
 
 def _gossip(view):
-    """Give a router's gossip that sends nothing, and what it heard."""
+    """Return a router's gossip that has no socket."""
     settings = settings_module.Settings(
         router_id='r0',
         failure_domain='a',
@@ -79,13 +79,11 @@
 
 
 def test_what_is_not_in_force_yet_is_not_told_as_known():
-    """Symptom: one router sends to an endpoint that has left, for good.
+    """Failure: a router keeps sending to an endpoint that has left.
 
-    Sequence: a reader has read a change that its directory has yet to apply,
-    and tells how far it has read beside what was in force before; another
-    router takes nothing to have changed up to there, and leaves out the
-    change when it is told.
-    Cause: versions of what was read and of what is in force in one datagram.
+    A reader that has read a change but not yet applied it sends the new
+    position along with the old state.  Receivers conclude that nothing
+    changed up to that position, and skip the change when it is sent.
     """
     view = builders.view_of([])
     teller = _gossip(view)
--- a/packages/gateway/ibisring_gateway/tests/test_large_fleets.py
+++ b/packages/gateway/ibisring_gateway/tests/test_large_fleets.py
@@ -1,8 +1,8 @@
-"""What routers know of each other, and how often they call the store.
+"""Tests of router counts and of the number of store calls in large fleets.
 
-Promised at every size: of the running routers nearly all count as running,
-one that stopped is forgotten, and the calls that follow the store grow with
-what changes and with failure domains, not with that times the routers.
+Guaranteed at every size: nearly all running routers count as running, a
+stopped one no longer counts, and the number of store calls grows with the
+changes and the failure domains, not with changes times routers.
 """
 
 import pytest
@@ -17,11 +17,11 @@
 Trouble = schedules.Trouble
 
 SIZES = (6, 30, 88, 195)
-# Seeds drawn in each run of the tests; some hundreds are run by hand.
+# Random schedules per run of the tests; some hundreds are run by hand.
 SEEDS = 12
-# Seconds after its end within which a router counts as gone.
+# Seconds after its end within which a router no longer counts as running.
 GONE_WITHIN = 5.0
-# Share of the routers by which the number that counts as running may be off.
+# Maximum relative error of the count of running routers.
 MOST_OFF = 0.02
 
 
@@ -51,7 +51,7 @@
 
 
 def _calls(routers):
-    """Give the calls of a start, and those of four seconds of changes."""
+    """Return the store calls of a start, and of four seconds of changes."""
     changes = [Change(5.0 + 0.5 * n, ENDPOINTS) for n in range(8)]
     changes += [Change(5.1, TABLE), Change(7.3, TABLE)]
     fleet = _fleet(routers, changes)
@@ -65,11 +65,10 @@
 
 
 def test_calls_follow_what_changes_and_not_the_number_of_routers():
-    """Symptom: half of a fleet's price is calls that follow the store.
+    """Failure: calls that follow the store are half of a fleet's cost.
 
-    Sequence: one endpoint changes; each of 195 routers has a call that
-    waits for it, and makes the next one.
-    Cause: every router read the store for itself alone.
+    If every router reads the store itself, a change of one endpoint ends a
+    long poll of each of 195 routers and starts the next one.
     """
     few = _calls(6)[1]
     for routers in (88, 195):
@@ -81,11 +80,11 @@
 
 @pytest.mark.parametrize('routers', SIZES)
 def test_running_routers_are_counted(routers):
-    """Symptom: a router of 195 believes that 120 run.
+    """Failure: a router counts 120 of 195 routers as running.
 
-    Sequence: each told six others at random, four times a second, and was
-    forgotten after eight seconds.
-    Cause: whom to tell did not go by how long one is remembered.
+    Each router sends to six random others four times a second and expires
+    after eight seconds without a message; many pairs don't meet in that time
+    if receivers are chosen independently of it.
     """
     third = tuple(range(routers))
     fleet = _fleet(routers, troubles=[Trouble('lossy', 0.0, 20.0, third)])
@@ -98,7 +97,7 @@
 
 @pytest.mark.parametrize('routers', SIZES)
 def test_routers_that_stopped_no_longer_count(routers):
-    """Symptom: the bound on repeats is divided by routers that are gone."""
+    """Failure: the retry budget is divided among routers that have stopped."""
     fleet = _fleet(routers)
     _run(fleet, 5.0)
     gone = range(0, routers, 3)
@@ -123,9 +122,9 @@
 
 @pytest.mark.parametrize('kind', ('restart', 'frozen', 'isolated', 'cut'))
 def test_readers_of_a_domain_that_fail_together_are_replaced(kind):
-    """Failure: both routers that read the store for their domain are struck.
+    """Failure: both routers that read the store for their domain fail.
 
-    What changes just then is known in time to all others.
+    Changes during the failure still reach all others in time.
     """
     readers = (0, 12)
     troubles = [Trouble(kind, 7.9, 6.0, readers)]
@@ -137,11 +136,10 @@
 
 
 def test_a_change_that_no_reader_told_is_read():
-    """Symptom: one router acts on old endpoints until the next change.
+    """Failure: one router acts on old endpoints until the next change.
 
-    Sequence: the datagrams that tell it of a change are all lost; the
-    change after it is told from a version that it does not know.
-    Cause: what is missing would show in nothing but the version.
+    All datagrams with a change are lost, and the next change follows a
+    version that the router does not have; only the version shows the gap.
     """
     deaf = tuple(range(9, 30))
     troubles = [Trouble('lossy', 7.0, 8.0, deaf)]
@@ -154,7 +152,7 @@
 
 
 def test_a_third_that_the_store_turns_away_does_not_make_all_ask():
-    """Load: 20 of 60 machines lose the store for six seconds of changes."""
+    """Failure: all routers poll the store when 20 of 60 can't reach it."""
     changes = [Change(7.0 + 0.5 * n, ENDPOINTS) for n in range(10)]
     calm = _fleet(60, changes)
     _run(calm, 16.0)
@@ -169,7 +167,7 @@
 
 
 def test_one_router_that_the_store_turns_away_does_not_make_all_ask():
-    """Load: one machine loses its way to the store, which serves the rest."""
+    """Failure: all routers poll the store when one of 60 can't reach it."""
     calm = _fleet(60)
     _run(calm, 16.0)
     calm.scheduler.kill()
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of how long a router waits for the store, and whom it asks."""
+"""Tests of tracking peer routers and fetching state from them."""
 
 import msgspec
 import pytest
@@ -27,7 +27,7 @@
 
 
 def _hear(known, name, domain, touch, at, lost_ms=None, standing=None):
-    """Have a router hear another one."""
+    """Have a router receive a datagram of another one."""
     neighbour = sharing.Neighbour(name, standing) if standing else None
     heard = hearing.Heard(
         name=name, domain=domain, at=at, touch=touch, neighbour=neighbour
@@ -55,7 +55,7 @@
 
 
 def test_a_router_knows_its_place_among_those_that_read():
-    """Two of each domain read; all do while these have lost the store."""
+    """Two routers of each domain read, or all while these lost the store."""
     known = _peers()
     clock = builders.Clock()
     known.view.clock = clock
@@ -76,11 +76,11 @@
 
 
 def test_what_others_say_of_the_store_is_passed_on():
-    """Symptom: five of six routers hang on a store that one knows is lost.
+    """Failure: routers wait on a store that another one knows is lost.
 
-    Sequence: the store falls silent; one router's call ends, the others'
-    wait for seconds more, also after its return.
-    Cause: what a router told of the store was heard and not acted upon.
+    The store stops answering; one router's call times out, and the others
+    keep waiting for seconds, even after the store is back, because they
+    ignore the store status in that router's messages.
     """
     known = _peers()
     said = []
@@ -93,11 +93,10 @@
 
 
 def test_a_router_that_is_ahead_is_asked():
-    """Symptom: a revoked key works for as long as a call may wait.
+    """Failure: a revoked key works until the store call times out.
 
-    Sequence: the connection to the store falls silent for good; others
-    have read the change and tell its version.
-    Cause: only the own call's end would have shown it.
+    The connection to the store hangs; other routers have read the change
+    and send its version, but only the end of the own call is acted upon.
     """
     known = _peers()
     view = known.view
@@ -117,9 +116,10 @@
 
 
 def test_a_router_nearby_is_asked_first():
-    """Load: each change of 95 endpoints learnt by 88 routers from others.
+    """Failure: lists of endpoints are fetched across failure domains.
 
-    The list takes 14 KB; two thirds of them would cross between domains.
+    With 88 routers and 95 endpoints each change costs 88 lists of 14 KB, of
+    which two thirds would cross links between domains.
     """
     known = _peers()
     for name, domain in (('far', 'b'), ('near', 'a'), ('away', 'c')):
@@ -130,10 +130,10 @@
 
 @pytest.mark.parametrize('count', (6, 83))
 def test_what_others_know_of_the_store_is_forgotten(count):
-    """Symptom: nobody orders for seconds after a router was killed.
+    """Failure: no router sends orders for seconds after a router was killed.
 
-    Sequence: the store goes away with the router that would take the lead.
-    Cause: it counted as running for as long as in the bound on repeats.
+    The store fails together with the router that would take the lead, and
+    that router still counts as running, for as long as in the retry budget.
     """
     known = _peers()
     for number in range(1, count):
@@ -165,11 +165,10 @@
 
 
 def test_what_another_router_gave_is_gone_on_from():
-    """Symptom: a router asks others for the whole list again and again.
+    """Failure: a router fetches the whole list from peers again and again.
 
-    Sequence: it misses one change and gets all endpoints from another
-    router; the next change is told from a version that it has by now.
-    Cause: how far it knows the table was noted for the store's answers only.
+    It misses one change and fetches all endpoints from a peer, but does not
+    record their version as known, so that it rejects the next change too.
     """
     known = _peers()
     for follower in known.followers.members.values():
@@ -182,7 +181,7 @@
 
 
 def test_store_and_routers_are_asked_in_turn():
-    """Failure: one of both can't give what was missed."""
+    """Failure: either the store or the peers can't provide what was missed."""
     known = catchup.make_catchup()
     asked = []
     for turn in range(4):
--- a/packages/gateway/ibisring_gateway/tests/test_spread.py
+++ b/packages/gateway/ibisring_gateway/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""How far what one router found out reaches, by the routers' real code."""
+"""Tests that findings of one router reach all others by gossip."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 Trouble = schedules.Trouble
 DIGEST = b'bad-one!'
-# Seconds within which all routers in contact act on what any has seen.
+# Seconds within which all connected routers act on a finding of any.
 CONTACT = 3.0
 
 
@@ -26,7 +26,7 @@
 
 
 def _end_three(fleet):
-    """Let three routers see an end each, at the same moment."""
+    """Let three routers each see one crash at the same moment."""
     numbers = [0, len(fleet.routers) // 2, len(fleet.routers) - 1]
     for number in numbers:
         router = fleet.routers[number]
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize('routers', (3, 6, 88, 195))
 def test_ends_seen_by_three_routers_are_known_to_all(routers):
-    """Failure: a bad request runs at routers that did not hear of its ends."""
+    """Failure: a bad request runs at routers that missed its crashes."""
     third = tuple(range(routers))
     fleet = _fleet(routers, Trouble('lossy', 0.0, 20.0, third))
     _run(fleet, 7.0)
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize('routers', (6, 88))
 def test_a_router_that_starts_or_was_cut_off_is_told(routers):
-    """Failure: a bad request runs again where nobody saw its ends."""
+    """Failure: a bad request runs again at a new or disconnected router."""
     cut, started = 2, 4
     fleet = _fleet(
         routers,
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize('routers', (3, 88, 195))
 def test_a_limit_named_to_one_router_is_known_to_all(routers):
-    """Failure: each router sends until an endpoint has told it itself."""
+    """Failure: each router overloads an endpoint until refused itself."""
     third = tuple(range(routers))
     fleet = _fleet(routers, Trouble('lossy', 0.0, 20.0, third))
     _run(fleet, 7.0)
--- a/packages/gateway/ibisring_gateway/tests/test_store_outages.py
+++ b/packages/gateway/ibisring_gateway/tests/test_store_outages.py
@@ -1,8 +1,8 @@
-"""What routers know after trouble of the store, in virtual time.
+"""Tests of the state of routers after store failures, in virtual time.
 
-Promised: a router to which nothing has happened for three seconds, with the
-store calm for as long, acts on no version older than one that the store
-acknowledged two seconds before, and never goes back.
+Guaranteed: a router that, like the store, has had no failure for three
+seconds acts on no version older than one that the store acknowledged two
+seconds ago.  No router ever goes back to an older version.
 """
 
 import itertools
@@ -12,10 +12,10 @@
 from ibisring_gateway.tests import schedules
 from ibisring_gateway.tests import virtualfleet
 
-# Seeds drawn in each run of the tests; some thousands are run by hand.
+# Random schedules per run of the tests; some thousands are run by hand.
 SEEDS = 40
-# Seconds from the store's return, and one step of the play, in which every
-# router knows what the store has taken since.
+# Seconds after the store's return, including one step of the simulation,
+# within which every router knows the writes accepted since.
 KNOWN_WITHIN = 1.5
 
 Change = schedules.Change
@@ -34,21 +34,13 @@
 
 
 def test_a_change_confirmed_after_a_silence_is_known_in_time():
-    """Symptom: 404 on a route that was confirmed over two seconds before.
+    """Failure: 404 on a route that was confirmed over two seconds before.
 
-    Sequence: the routers have just read a change when the store falls
-    silent for six seconds; it returns and confirms changes; no router acts
-    on them for four seconds more, and then all of them do at once.
-
-    Cause: calls that wait for changes went on waiting as on a calm store.
-    One that begins while the store is silent is never answered and ends by
-    its own timeout only, 5.4 s later; all routers' calls began together, so
-    that none was free to notice.
-
-    Evidence: in the routers' logs each call without an answer had run for
-    5.4 s and ended up to 5 s after the store's return; one whose process had
-    been frozen meanwhile asked anew and knew at once.  With calls that don't
-    wait on a store in trouble this and the schedules below hold.
+    All routers start a long poll just before the store stops answering for
+    six seconds.  These calls are never answered and end only by their own
+    timeout, 5.4 s later, so that no router notices the store's return and
+    the changes confirmed since for up to 5 s.  Calls to a failing store must
+    therefore not wait.
     """
     silence = Trouble('silent', 5.0, 6.0)
     changes = (4.9, 11.6, 11.7, 11.8, 12.1, 14.1)
@@ -69,15 +61,15 @@
     ids=('returns', 'just_begun', 'short', 'endpoints', 'just_started'),
 )
 def test_schedules_that_failed(schedule):
-    """Symptom, sequence and cause as above; found by drawing, then shrunk."""
+    """As above; found by random search, then minimized."""
     assert not _violations(schedule)
 
 
 def test_an_old_state_puts_nothing_back():
-    """Symptom: a router uses endpoints as they were seconds before.
+    """Failure: a router goes back to the endpoints of seconds before.
 
-    Sequence: the store shows an old state; some routers know a newer one.
-    Cause: endpoints read from the store were applied whatever their version.
+    The store serves stale state and some routers know a newer version, but
+    endpoints read from the store are applied regardless of their version.
     """
     old = Trouble('old', 3.1, 6.0)
     schedule = _schedule(3, (2.0, 5.9), old, source=ENDPOINTS)
@@ -86,14 +78,14 @@
 
 @pytest.mark.parametrize('routers', (1, 2, 3, 6))
 def test_a_return_is_known_in_time(routers):
-    """From the return on, whatever the routers' calls were doing."""
+    """Changes are known in time whatever state the calls were in."""
     for lasts, before in itertools.product(
         (0.3, 0.7, 1.9, 3.1, 6.3), (0.02, 0.4, 1.3, 2.9, 4.7)
     ):
         silence = Trouble('silent', 8.0, lasts)
         changes = (8.0 - before, silence.ends - 0.02)
         schedule = _schedule(routers, changes, silence)
-        # The store takes what was written to it just after its return.
+        # The store accepts pending writes just after its return.
         since = silence.ends + 0.06
         took = virtualfleet.seconds_until_known(schedule, TABLE, since)
         assert took <= KNOWN_WITHIN, schedule
@@ -102,7 +94,7 @@
 @pytest.mark.parametrize('kind', schedules.STORE_KINDS)
 @pytest.mark.parametrize('routers', (1, 3))
 def test_trouble_of_any_length(kind, routers):
-    """Every length in steps, with a change just before it and after it."""
+    """Failures of many lengths, with a change just before and just after."""
     lengths = (0.3, 0.9, 1.5, 2.3, 3.1, 4.7, 6.3)
     for lasts, after in itertools.product(lengths, (0.2, 1.1)):
         trouble = Trouble(kind, 5.0, lasts)
--- a/packages/gateway/ibisring_gateway/tests/test_watching.py
+++ b/packages/gateway/ibisring_gateway/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""Tests of when attempts are looked at."""
+"""Tests of when attempts are checked."""
 
 import socket
 
@@ -10,7 +10,7 @@
 
 
 class _Watcher(watching.Watcher):
-    """Has no thread; the test looks."""
+    """Has no thread; the tests call `look`."""
 
     def start(self):
         return self
@@ -32,7 +32,7 @@
 
 
 def test_it_sleeps_until_something_is_due():
-    """Gain: 100 wake-ups a second become some 15, at one stream a router."""
+    """Failure: 100 wake-ups a second for one stream, where 15 suffice."""
     assert watching.MOST_SLEEP < selecting.LEAST_GAP
     watcher, clock, _ = _watcher()
     assert watcher.sleep(clock()) == watching.IDLE_SLEEP
--- a/packages/gateway/ibisring_gateway/tests/virtualfleet.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualfleet.py
@@ -1,8 +1,7 @@
-"""Routers' real code that follows a store, all in one thread's virtual time.
+"""Simulation of routers that follow a store, in virtual time in one thread.
 
-The store, its links and the network between routers are made for the tests.
-What decides when to call, whom to ask and what to put in force is the
-product's.
+The store, its links and the network between routers are simulated.  The code
+that decides when to call, whom to query and what to apply is the product's.
 """
 
 __all__ = ['Router', 'Fleet', 'play', 'seconds_until_known']
@@ -27,18 +26,18 @@
 
 ENDPOINTS = schedules.ENDPOINTS
 TABLE = schedules.TABLE
-# Seconds that a datagram takes, and the share lost on links that lose some.
+# Seconds that a datagram takes, and the share lost on lossy links.
 PEER_DELAY = 0.002
 LOSSY_SHARE = 0.3
-# Seconds without trouble after which a router is held to its promise, and
-# seconds after the store's acknowledgement at which it knows a change.
+# Seconds without failures after which the guarantees apply to a router, and
+# seconds from the store's acknowledgement until it must know a change.
 CALM = 3.0
 KNOWS_WITHIN = 2.0
 CHECK_EVERY = 0.1
 
 
 class _Rows:
-    """The rows of the routers, as one of them reaches them."""
+    """The store's rows of routers, as accessed by one router."""
 
     def __init__(self, fleet, number):
         self.fleet = fleet
@@ -61,7 +60,7 @@
 
 
 class _Network:
-    """Datagrams and calls of one router to the others."""
+    """Datagrams and calls from one router to the others."""
 
     def __init__(self, fleet, router):
         self.fleet = fleet
@@ -82,7 +81,7 @@
         scheduler.at(arrives, lambda: other.receive(told, source))
 
     def call(self, method, address, path, cls):
-        """Ask another router for what it knows."""
+        """Fetch another router's state."""
         scheduler = self.fleet.scheduler
         other = self.fleet.by_address.get(address)
         scheduler.sleep(PEER_DELAY)
@@ -97,7 +96,7 @@
 
 
 class Router:
-    """One router's parts that follow the store, in one lifetime."""
+    """The parts of a router process that follow the store."""
 
     def __init__(self, fleet, number):
         scheduler = fleet.scheduler
@@ -161,12 +160,12 @@
             self.directory.on_tick(directory.Tick())
 
     def receive(self, told, source):
-        """Take in a datagram."""
+        """Receive a datagram."""
         if self.is_up:
             self.gossip.take(told, source)
 
     def versions(self):
-        """Give the version of each source that is acted upon."""
+        """Return the version of each source in force."""
         snapshot = self.view.snapshot
         found = snapshot.endpoints.get('x')
         return {
@@ -176,7 +175,7 @@
 
 
 class Fleet:
-    """All routers, the store, and the check of what they promise."""
+    """All routers, the store, and the check of the guarantees."""
 
     def __init__(self, schedule):
         self.schedule = schedule
@@ -191,7 +190,7 @@
         self.violations = []
 
     def start(self, number):
-        """Start a router, again after its end."""
+        """Start a router, for the first time or after `end`."""
         router = Router(self, number)
         self.routers[number] = router
         self.by_address[f'{router.host}:7000'] = router
@@ -205,14 +204,14 @@
             self.scheduler.kill(router.settings.router_id)
 
     def cuts(self, one, other):
-        """Say whether two routers can't reach each other now."""
+        """Return whether two routers can't reach each other now."""
         return any(
             trouble.kind in ('cut', 'isolated')
             for trouble in self._striking(one, other)
         )
 
     def loses(self, one, other):
-        """Say whether a datagram between two routers is lost."""
+        """Return whether a datagram between two routers is lost."""
         if self.cuts(one, other):
             return True
         is_lossy = any(
@@ -228,7 +227,7 @@
                     yield trouble
 
     def arrange(self):
-        """Put everything that happens on the scheduler's list."""
+        """Start the routers and schedule all events of the run."""
         start = virtualtime.START
         for number in range(self.schedule.routers):
             self.start(number)
@@ -284,7 +283,7 @@
                 self._violated(router, source, f'{version}, not {due[-1]}')
 
     def all_know(self, source):
-        """Say whether all routers act on a source's last version."""
+        """Return whether all routers act on a source's last version."""
         last = self.store.acknowledged[source][-1][1]
         return all(
             router.versions()[source] >= last
@@ -297,7 +296,7 @@
         self.violations.append(f'{at:.1f} {name} {source} {what}')
 
     def _is_calm(self, number, passed):
-        """Say whether a router and the store were left alone for long."""
+        """Return whether router and store had no failure for `CALM` s."""
         if passed < CALM:
             return False
         for trouble in self.schedule.troubles:
@@ -310,12 +309,12 @@
 
 
 def play(schedule):
-    """Play a schedule.
+    """Run a schedule.
 
     Returns
     -------
     (list of str, int)
-        What was promised and not kept, and the calls of the store.
+        Violated guarantees, and the number of store calls.
     """
     fleet = Fleet(schedule)
     fleet.arrange()
@@ -325,12 +324,12 @@
 
 
 def seconds_until_known(schedule, source, since):
-    """Play a schedule until all routers know the last change of a source.
+    """Run a schedule until all routers know the last change of a source.
 
     Returns
     -------
     float
-        Seconds from the time `since`, after which nothing may be written.
+        Seconds after `since`; the schedule has no changes after that time.
     """
     fleet = Fleet(schedule)
     fleet.arrange()
--- a/packages/gateway/ibisring_gateway/tests/virtualstore.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualstore.py
@@ -1,4 +1,4 @@
-"""A store in virtual time that fails as a schedule says."""
+"""Simulated store in virtual time that fails as a schedule says."""
 
 __all__ = ['Store', 'Source']
 
@@ -12,16 +12,16 @@
 TABLE = schedules.TABLE
 # Seconds that an answer takes.
 DELAY = 0.004
-# Seconds beyond its wait after which a call is given up.
+# Seconds beyond its wait after which a call times out.
 MARGIN = 0.6
-# Seconds by which the state is old that a store shows in such trouble.
+# Age in seconds of the state that a store serves during an 'old' failure.
 OLD_BY = 4.0
-# Share of the answers that are lost in trouble that loses some.
+# Share of the answers lost during a 'lost' failure.
 LOST_SHARE = 0.5
 
 
 class _Call:
-    """A call of the store under way; `page` or `error` once it is set."""
+    """A call to the store; has `page` or `error` once it is answered."""
 
     def __init__(self, scheduler, number, source, after):
         self.number = number
@@ -33,20 +33,20 @@
         self.is_lost = False
 
     def fail(self, error):
-        """End it with an error."""
+        """End the call with an error."""
         self.error = error
         self.answered.set()
 
 
 class Store:
-    """Two tables that are written, read and followed.
+    """Two tables that can be written, read and followed.
 
     Attributes
     ----------
     acknowledged : dict of str to list of (float, int)
-        When each version of a source was acknowledged.
+        Time and number of each acknowledged version, by source.
     calls : int
-        Calls that routers made.
+        Number of calls received.
     """
 
     def __init__(self, scheduler, troubles, rng):
@@ -59,7 +59,7 @@
         self.calls = 0
 
     def kind_of_trouble(self, number):
-        """Give what is wrong between the store and a router now, or None."""
+        """Return the current failure between store and router, or None."""
         passed = self.scheduler.now - virtualtime.START
         for trouble in self.troubles:
             if not trouble.at <= passed < trouble.ends:
@@ -73,7 +73,7 @@
         return None
 
     def trouble_begins(self, trouble):
-        """Strike the calls that wait."""
+        """Apply the start of a failure to the waiting calls."""
         struck = [c for c in self.waiting if trouble.strikes(c.number)]
         for call in struck:
             if trouble.kind == 'reset':
@@ -82,7 +82,7 @@
                 call.is_lost = True
 
     def write(self, source):
-        """Write the next version, when the store takes it."""
+        """Write the next version, after the failure if there is one."""
         passed = self.scheduler.now - virtualtime.START
         for trouble in self.troubles:
             refuses = trouble.kind in ('silent', 'reset', 'busy')
@@ -102,13 +102,13 @@
         self.tell_waiting()
 
     def tell_waiting(self):
-        """Answer the calls for which there is something by now."""
+        """Answer the waiting calls whose table has changed."""
         for call in list(self.waiting):
             if self._page(call).items:
                 self._finish(call)
 
     def begin(self, number, source, after, wait):
-        """Begin a call, of all there is if `after` is None."""
+        """Start a call; a full read if `after` is None."""
         self.calls += 1
         call = _Call(self.scheduler, number, source, after)
         arrives = self.scheduler.now + DELAY / 2
@@ -164,7 +164,7 @@
 
 
 class Source(ports.Source):
-    """A table of the store as one router reaches it."""
+    """A table of the store as accessed by one router."""
 
     def __init__(self, store, number, name):
         self.store = store
--- a/packages/gateway/ibisring_gateway/tests/virtualtime.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualtime.py
@@ -1,8 +1,8 @@
-"""The real code's loops under a clock that jumps from event to event.
+"""Scheduler that runs the product's loops in virtual time.
 
-Each loop runs as a greenlet, one at a time, and the clock moves only while
-all of them wait, so that a run repeats exactly and takes as long as what
-happens in it.
+Each loop runs as a greenlet, one at a time, and the clock jumps to the next
+event only while all of them wait.  Runs are therefore deterministic and cost
+only the time of the code executed.
 """
 
 __all__ = ['Scheduler', 'Event', 'Killed']
@@ -16,11 +16,11 @@
 
 
 class Killed(BaseException):
-    """Ends a task whose process was killed."""
+    """Raised in a task to end it when its process is killed."""
 
 
 class _Task(greenlet.greenlet):
-    """A loop of an owner, which runs only when it is resumed."""
+    """Greenlet of an owner; runs only while it is resumed."""
 
     def __init__(self, owner, function, parent):
         super().__init__(function, parent)
@@ -33,9 +33,9 @@
     Attributes
     ----------
     now : float
-        Seconds.
+        Virtual time in seconds.
     frozen : dict of str to float
-        Until when the tasks of an owner do not run.
+        Time until which the tasks of an owner are suspended.
     """
 
     def __init__(self):
@@ -47,7 +47,7 @@
         self._numbers = itertools.count()
 
     def clock(self):
-        """Give the time."""
+        """Return the virtual time."""
         return self.now
 
     def at(self, when, action):
@@ -56,13 +56,13 @@
         heapq.heappush(self._queue, entry)
 
     def spawn(self, owner, function):
-        """Run a function as a task from now on."""
+        """Run a function as a new task."""
         task = _Task(owner, function, self._main)
         self.tasks.append(task)
         self.at(self.now, lambda: self.resume(task))
 
     def resume(self, task):
-        """Let a task run until it waits again; later if it is frozen."""
+        """Run a task until it waits again, or later if it is suspended."""
         if task.dead:
             return
         until = self.frozen.get(task.owner, 0.0)
@@ -72,17 +72,17 @@
         task.switch()
 
     def wait(self):
-        """Let others run until this task is resumed."""
+        """Yield to other tasks until this one is resumed."""
         self._main.switch()
 
     def sleep(self, seconds):
-        """Let a task wait for some seconds."""
+        """Suspend the current task for some seconds."""
         task = greenlet.getcurrent()
         self.at(self.now + seconds, lambda: self.resume(task))
         self.wait()
 
     def kill(self, owner=None):
-        """End the tasks of an owner, or all."""
+        """Kill the tasks of an owner, or all tasks."""
         for task in self.tasks:
             if owner in (None, task.owner) and not task.dead:
                 self._end(task)
@@ -95,7 +95,7 @@
             return
 
     def run(self, until):
-        """Let everything happen up to a time."""
+        """Run all events up to a time."""
         while self._queue and self._queue[0][0] <= until:
             self.now, _, action = heapq.heappop(self._queue)
             action()
@@ -103,7 +103,7 @@
 
 
 class Event:
-    """What `threading.Event` is, under a `Scheduler`."""
+    """Replacement of `threading.Event` under a `Scheduler`."""
 
     def __init__(self, scheduler):
         self.scheduler = scheduler
@@ -111,22 +111,22 @@
         self.waiters = []
 
     def is_set(self):
-        """Say whether it is set."""
+        """Return whether the flag is set."""
         return self.flag
 
     def set(self):
-        """Wake all that wait."""
+        """Set the flag and wake all waiting tasks."""
         self.flag = True
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
             self.scheduler.at(self.scheduler.now, waiter)
 
     def clear(self):
-        """Set it back."""
+        """Reset the flag."""
         self.flag = False
 
     def wait(self, seconds):
-        """Wait until it is set, for some seconds at most."""
+        """Wait until the flag is set, for at most some seconds."""
         if self.flag:
             return True
         scheduler = self.scheduler
