--- a/packages/gateway/ibisring_gateway/tests/schedules.py
+++ b/packages/gateway/ibisring_gateway/tests/schedules.py
@@ -1,6 +1,6 @@
 """Schedules of changes and failures for runs in virtual time."""
 
-__all__ = ['Trouble', 'Change', 'Schedule', 'draw', 'draw_large']
+__all__ = ['Failure', 'Change', 'Schedule', 'draw', 'draw_large']
 
 import random
 
@@ -20,10 +20,10 @@
 TABLE = 'table'
 ENDPOINTS = 'endpoints'
 # Seconds that a run continues after the last change or failure.
-AFTER = 8.0
+SETTLE_SECONDS = 8.0
 
 
-class Trouble(msgspec.Struct, frozen=True):
+class Failure(msgspec.Struct, frozen=True):
     """A failure that starts at `at` and lasts `lasts` seconds.
 
     `who` are the numbers of the affected routers; empty means all.
@@ -31,17 +31,17 @@
 
     kind: str
     at: float
-    lasts: float
-    who: tuple[int, ...] = ()
+    seconds: float
+    affected: tuple[int, ...] = ()
 
     @property
-    def ends(self):
+    def ends_at(self):
         """When the failure is over."""
-        return self.at + self.lasts
+        return self.at + self.seconds
 
-    def strikes(self, number):
+    def affects(self, number):
         """Return whether a router is affected."""
-        return not self.who or number in self.who
+        return not self.affected or number in self.affected
 
 
 class Change(msgspec.Struct, frozen=True):
@@ -56,40 +56,42 @@
 
     routers: int
     changes: tuple[Change, ...]
-    troubles: tuple[Trouble, ...]
+    failures: tuple[Failure, ...]
     seed: int = 0
     domains: int = 3
 
     @property
-    def ends(self):
+    def ends_at(self):
         """When the run ends."""
         times = [0.0]
         times += [change.at for change in self.changes]
-        times += [trouble.ends for trouble in self.troubles]
-        return max(times) + AFTER
+        times += [failure.ends_at for failure in self.failures]
+        return max(times) + SETTLE_SECONDS
 
 
 def draw(seed):
     """Draw a schedule of many changes and failures that may overlap."""
     rng = random.Random(seed)
     routers = rng.randint(3, 7)
-    troubles = []
+    failures = []
     for _ in range(rng.randint(1, 4)):
         kind = rng.choice(KINDS)
-        lasts = rng.uniform(0.3, 7.0)
-        who = ()
+        seconds = rng.uniform(0.3, 7.0)
+        affected = ()
         if kind in ROUTER_KINDS or rng.random() < 0.3:
-            who = tuple(rng.sample(range(routers), rng.randint(1, 2)))
-        troubles.append(Trouble(kind, rng.uniform(3.0, 14.0), lasts, who))
+            affected = tuple(rng.sample(range(routers), rng.randint(1, 2)))
+        failures.append(
+            Failure(kind, rng.uniform(3.0, 14.0), seconds, affected)
+        )
     changes = [
         Change(rng.uniform(2.0, 20.0), rng.choice((TABLE, ENDPOINTS)))
         for _ in range(rng.randint(3, 14))
     ]
     changes.sort(key=lambda change: change.at)
-    return Schedule(routers, tuple(changes), tuple(troubles), seed)
+    return Schedule(routers, tuple(changes), tuple(failures), seed)
 
 
-def draw_large(seed, least=9, most=24, domains=3):
+def draw_large(seed, min_routers=9, max_routers=24, domains=3):
     """Draw a schedule with more routers than read the store.
 
     Failures of some routers affect one, two, a tenth or a third of them; half
@@ -97,22 +99,22 @@
     """
     schedule = draw(seed)
     rng = random.Random(seed + 1)
-    routers = rng.randint(least, most)
-    troubles = []
-    for trouble in schedule.troubles:
-        if trouble.who:
-            who = _some(rng, routers, domains)
-            trouble = msgspec.structs.replace(trouble, who=who)
-        troubles.append(trouble)
+    routers = rng.randint(min_routers, max_routers)
+    failures = []
+    for failure in schedule.failures:
+        if failure.affected:
+            affected = _draw_affected(rng, routers, domains)
+            failure = msgspec.structs.replace(failure, affected=affected)
+        failures.append(failure)
     return msgspec.structs.replace(
         schedule,
         routers=routers,
-        troubles=tuple(troubles),
+        failures=tuple(failures),
         domains=domains,
     )
 
 
-def _some(rng, routers, domains):
+def _draw_affected(rng, routers, domains):
     count = rng.choice((1, 2, max(2, routers // 10), max(2, routers // 3)))
     if rng.random() < 0.5:
         return tuple(rng.sample(range(routers), count))
--- a/packages/gateway/ibisring_gateway/tests/test_large_fleets.py
+++ b/packages/gateway/ibisring_gateway/tests/test_large_fleets.py
@@ -14,26 +14,26 @@
 ENDPOINTS = schedules.ENDPOINTS
 TABLE = schedules.TABLE
 Change = schedules.Change
-Trouble = schedules.Trouble
+Failure = schedules.Failure
 
 SIZES = (6, 30, 88, 195)
 # Random schedules per run of the tests; some hundreds are run by hand.
 SEEDS = 12
 # Seconds after its end within which a router no longer counts as running.
-GONE_WITHIN = 5.0
+STOPPED_WITHIN_SECONDS = 5.0
 # Maximum relative error of the count of running routers.
-MOST_OFF = 0.02
+MAX_COUNT_ERROR = 0.02
 
 
-def _fleet(routers, changes=(), troubles=()):
+def _fleet(routers, changes=(), failures=()):
     schedule = schedules.Schedule(
         routers,
         tuple(changes),
-        tuple(troubles),
+        tuple(failures),
         domains=5 if routers > 100 else 3,
     )
     fleet = virtualfleet.Fleet(schedule)
-    fleet.arrange()
+    fleet.set_up()
     return fleet
 
 
@@ -64,7 +64,7 @@
     return at_start, fleet.store.calls - at_start
 
 
-def test_calls_follow_what_changes_and_not_the_number_of_routers():
+def test_store_calls_scale_with_changes_and_not_with_routers():
     """Failure: calls that follow the store are half of a fleet's cost.
 
     If every router reads the store itself, a change of one endpoint ends a
@@ -86,37 +86,41 @@
     after eight seconds without a message; many pairs don't meet in that time
     if receivers are chosen independently of it.
     """
-    third = tuple(range(routers))
-    fleet = _fleet(routers, troubles=[Trouble('lossy', 0.0, 20.0, third)])
+    all_routers = tuple(range(routers))
+    fleet = _fleet(
+        routers, failures=[Failure('lossy', 0.0, 20.0, all_routers)]
+    )
     for until in (7.0, 8.5):
         _run(fleet, until)
-        off = [abs(count - routers) for count in _counts(fleet)]
-        assert sorted(off)[len(off) * 9 // 10] <= max(1, MOST_OFF * routers)
+        errors = [abs(count - routers) for count in _counts(fleet)]
+        assert sorted(errors)[len(errors) * 9 // 10] <= max(
+            1, MAX_COUNT_ERROR * routers
+        )
     fleet.scheduler.kill()
 
 
 @pytest.mark.parametrize('routers', SIZES)
-def test_routers_that_stopped_no_longer_count(routers):
+def test_stopped_routers_are_not_counted(routers):
     """Failure: the retry budget is divided among routers that have stopped."""
     fleet = _fleet(routers)
     _run(fleet, 5.0)
-    gone = range(0, routers, 3)
-    for number in gone:
-        fleet.end(number)
-    _run(fleet, 5.0 + GONE_WITHIN)
-    left = routers - len(gone)
-    off = [abs(count - left) for count in _counts(fleet)]
-    assert max(off) <= max(1, MOST_OFF * routers)
+    stopped = range(0, routers, 3)
+    for number in stopped:
+        fleet.kill(number)
+    _run(fleet, 5.0 + STOPPED_WITHIN_SECONDS)
+    remaining = routers - len(stopped)
+    errors = [abs(count - remaining) for count in _counts(fleet)]
+    assert max(errors) <= max(1, MAX_COUNT_ERROR * routers)
     fleet.scheduler.kill()
 
 
-def test_a_domain_that_was_cut_off_is_counted_again():
-    cut = tuple(range(0, 90, 3))
-    fleet = _fleet(90, troubles=[Trouble('cut', 6.0, 6.0, cut)])
+def test_partitioned_domain_is_counted_again():
+    partitioned = tuple(range(0, 90, 3))
+    fleet = _fleet(90, failures=[Failure('cut', 6.0, 6.0, partitioned)])
     _run(fleet, 11.9)
-    assert max(_counts(fleet, set(range(90)) - set(cut))) <= 60
+    assert max(_counts(fleet, set(range(90)) - set(partitioned))) <= 60
     _run(fleet, 16.0)
-    assert min(_counts(fleet)) >= 90 * (1 - MOST_OFF)
+    assert min(_counts(fleet)) >= 90 * (1 - MAX_COUNT_ERROR)
     fleet.scheduler.kill()
 
 
@@ -127,59 +131,59 @@
     Changes during the failure still reach all others in time.
     """
     readers = (0, 12)
-    troubles = [Trouble(kind, 7.9, 6.0, readers)]
+    failures = [Failure(kind, 7.9, 6.0, readers)]
     changes = [Change(8.0, ENDPOINTS), Change(8.2, TABLE), Change(10.0, TABLE)]
-    fleet = _fleet(30, changes, troubles)
+    fleet = _fleet(30, changes, failures)
     _run(fleet, 20.0)
     assert not fleet.violations
     fleet.scheduler.kill()
 
 
-def test_a_change_that_no_reader_told_is_read():
+def test_change_lost_in_gossip_is_read_from_the_store():
     """Failure: one router acts on old endpoints until the next change.
 
     All datagrams with a change are lost, and the next change follows a
     version that the router does not have; only the version shows the gap.
     """
-    deaf = tuple(range(9, 30))
-    troubles = [Trouble('lossy', 7.0, 8.0, deaf)]
+    lossy = tuple(range(9, 30))
+    failures = [Failure('lossy', 7.0, 8.0, lossy)]
     changes = [Change(8.0 + 0.3 * n, ENDPOINTS) for n in range(20)]
-    fleet = _fleet(30, changes, troubles)
+    fleet = _fleet(30, changes, failures)
     _run(fleet, 24.0)
     assert not fleet.violations
     assert fleet.all_know(ENDPOINTS)
     fleet.scheduler.kill()
 
 
-def test_a_third_that_the_store_turns_away_does_not_make_all_ask():
+def test_third_of_routers_without_store_does_not_make_all_poll():
     """Failure: all routers poll the store when 20 of 60 can't reach it."""
     changes = [Change(7.0 + 0.5 * n, ENDPOINTS) for n in range(10)]
     calm = _fleet(60, changes)
     _run(calm, 16.0)
     calm.scheduler.kill()
-    turned_away = tuple(range(20))
-    troubles = [Trouble('unreachable', 6.0, 6.0, turned_away)]
-    fleet = _fleet(60, changes, troubles)
+    refused = tuple(range(20))
+    failures = [Failure('unreachable', 6.0, 6.0, refused)]
+    fleet = _fleet(60, changes, failures)
     _run(fleet, 20.0)
     assert not fleet.violations
     fleet.scheduler.kill()
-    assert fleet.store.calls <= calm.store.calls + 20 * len(turned_away)
+    assert fleet.store.calls <= calm.store.calls + 20 * len(refused)
 
 
-def test_one_router_that_the_store_turns_away_does_not_make_all_ask():
+def test_one_router_without_store_does_not_make_all_poll():
     """Failure: all routers poll the store when one of 60 can't reach it."""
     calm = _fleet(60)
     _run(calm, 16.0)
     calm.scheduler.kill()
-    troubles = [Trouble('unreachable', 6.0, 6.0, (50,))]
-    fleet = _fleet(60, troubles=troubles)
+    failures = [Failure('unreachable', 6.0, 6.0, (50,))]
+    fleet = _fleet(60, failures=failures)
     _run(fleet, 16.0)
     fleet.scheduler.kill()
     assert fleet.store.calls <= calm.store.calls + 30
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
-def test_drawn_schedules(seed):
+def test_random_schedules(seed):
     schedule = schedules.draw_large(seed)
-    violations, _ = virtualfleet.play(schedule)
+    violations, _ = virtualfleet.simulate(schedule)
     assert not violations, schedule
--- a/packages/gateway/ibisring_gateway/tests/test_store_outages.py
+++ b/packages/gateway/ibisring_gateway/tests/test_store_outages.py
@@ -16,24 +16,24 @@
 SEEDS = 40
 # Seconds after the store's return, including one step of the simulation,
 # within which every router knows the writes accepted since.
-KNOWN_WITHIN = 1.5
+KNOWN_WITHIN_SECONDS = 1.5
 
 Change = schedules.Change
-Trouble = schedules.Trouble
+Failure = schedules.Failure
 TABLE = schedules.TABLE
 ENDPOINTS = schedules.ENDPOINTS
 
 
-def _schedule(routers, changes, *troubles, source=TABLE):
+def _schedule(routers, changes, *failures, source=TABLE):
     changes = tuple(Change(at, source) for at in changes)
-    return schedules.Schedule(routers, changes, troubles)
+    return schedules.Schedule(routers, changes, failures)
 
 
 def _violations(schedule):
-    return virtualfleet.play(schedule)[0]
+    return virtualfleet.simulate(schedule)[0]
 
 
-def test_a_change_confirmed_after_a_silence_is_known_in_time():
+def test_change_confirmed_after_an_outage_is_known_in_time():
     """Failure: 404 on a route that was confirmed over two seconds before.
 
     All routers start a long poll just before the store stops answering for
@@ -42,7 +42,7 @@
     the changes confirmed since for up to 5 s.  Calls to a failing store must
     therefore not wait.
     """
-    silence = Trouble('silent', 5.0, 6.0)
+    silence = Failure('silent', 5.0, 6.0)
     changes = (4.9, 11.6, 11.7, 11.8, 12.1, 14.1)
     assert not _violations(_schedule(6, changes, silence))
 
@@ -50,68 +50,68 @@
 @pytest.mark.parametrize(
     'schedule',
     [
-        _schedule(4, (13.2,), Trouble('silent', 8.8, 4.3)),
-        _schedule(5, (8.6, 11.8), Trouble('silent', 11.7, 6.7)),
-        _schedule(5, (13.0, 14.6), Trouble('silent', 13.5, 1.1)),
+        _schedule(4, (13.2,), Failure('silent', 8.8, 4.3)),
+        _schedule(5, (8.6, 11.8), Failure('silent', 11.7, 6.7)),
+        _schedule(5, (13.0, 14.6), Failure('silent', 13.5, 1.1)),
         _schedule(
-            5, (8.6, 11.8), Trouble('silent', 11.7, 6.7), source=ENDPOINTS
+            5, (8.6, 11.8), Failure('silent', 11.7, 6.7), source=ENDPOINTS
         ),
-        _schedule(6, (3.5,), Trouble('silent', 3.2, 0.4), source=ENDPOINTS),
+        _schedule(6, (3.5,), Failure('silent', 3.2, 0.4), source=ENDPOINTS),
     ],
     ids=('returns', 'just_begun', 'short', 'endpoints', 'just_started'),
 )
-def test_schedules_that_failed(schedule):
+def test_schedules_that_failed_before(schedule):
     """As above; found by random search, then minimized."""
     assert not _violations(schedule)
 
 
-def test_an_old_state_puts_nothing_back():
+def test_stale_state_reverts_nothing():
     """Failure: a router goes back to the endpoints of seconds before.
 
     The store serves stale state and some routers know a newer version, but
     endpoints read from the store are applied regardless of their version.
     """
-    old = Trouble('old', 3.1, 6.0)
+    old = Failure('old', 3.1, 6.0)
     schedule = _schedule(3, (2.0, 5.9), old, source=ENDPOINTS)
     assert not _violations(schedule)
 
 
 @pytest.mark.parametrize('routers', (1, 2, 3, 6))
-def test_a_return_is_known_in_time(routers):
+def test_end_of_outage_is_noticed_in_time(routers):
     """Changes are known in time whatever state the calls were in."""
-    for lasts, before in itertools.product(
+    for seconds, lead in itertools.product(
         (0.3, 0.7, 1.9, 3.1, 6.3), (0.02, 0.4, 1.3, 2.9, 4.7)
     ):
-        silence = Trouble('silent', 8.0, lasts)
-        changes = (8.0 - before, silence.ends - 0.02)
+        silence = Failure('silent', 8.0, seconds)
+        changes = (8.0 - lead, silence.ends_at - 0.02)
         schedule = _schedule(routers, changes, silence)
         # The store accepts pending writes just after its return.
-        since = silence.ends + 0.06
-        took = virtualfleet.seconds_until_known(schedule, TABLE, since)
-        assert took <= KNOWN_WITHIN, schedule
+        since = silence.ends_at + 0.06
+        delay = virtualfleet.seconds_until_known(schedule, TABLE, since)
+        assert delay <= KNOWN_WITHIN_SECONDS, schedule
 
 
 @pytest.mark.parametrize('kind', schedules.STORE_KINDS)
 @pytest.mark.parametrize('routers', (1, 3))
-def test_trouble_of_any_length(kind, routers):
+def test_store_failures_of_any_length(kind, routers):
     """Failures of many lengths, with a change just before and just after."""
     lengths = (0.3, 0.9, 1.5, 2.3, 3.1, 4.7, 6.3)
-    for lasts, after in itertools.product(lengths, (0.2, 1.1)):
-        trouble = Trouble(kind, 5.0, lasts)
-        schedule = _schedule(routers, (4.9, 5.0 + lasts + after), trouble)
+    for seconds, lag in itertools.product(lengths, (0.2, 1.1)):
+        failure = Failure(kind, 5.0, seconds)
+        schedule = _schedule(routers, (4.9, 5.0 + seconds + lag), failure)
         assert not _violations(schedule), schedule
 
 
 @pytest.mark.parametrize('kind', schedules.ROUTER_KINDS)
-def test_a_router_struck_in_a_silence(kind):
-    silence = Trouble('silent', 5.0, 3.0)
-    for at, lasts in itertools.product((4.0, 5.5, 7.5), (0.8, 3.5)):
-        struck = Trouble(kind, at, lasts, (1,))
-        schedule = _schedule(3, (4.9, 8.2, 9.0), silence, struck)
+def test_router_failure_during_store_outage(kind):
+    silence = Failure('silent', 5.0, 3.0)
+    for at, seconds in itertools.product((4.0, 5.5, 7.5), (0.8, 3.5)):
+        failure = Failure(kind, at, seconds, (1,))
+        schedule = _schedule(3, (4.9, 8.2, 9.0), silence, failure)
         assert not _violations(schedule), schedule
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
-def test_drawn_schedules(seed):
+def test_random_schedules(seed):
     schedule = schedules.draw(seed)
     assert not _violations(schedule), schedule
--- a/packages/gateway/ibisring_gateway/tests/virtualfleet.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualfleet.py
@@ -4,7 +4,7 @@
 that decides when to call, whom to query and what to apply is the product's.
 """
 
-__all__ = ['Router', 'Fleet', 'play', 'seconds_until_known']
+__all__ = ['Router', 'Fleet', 'simulate', 'seconds_until_known']
 
 import random
 
@@ -27,16 +27,16 @@
 ENDPOINTS = schedules.ENDPOINTS
 TABLE = schedules.TABLE
 # Seconds that a datagram takes, and the share lost on lossy links.
-PEER_DELAY = 0.002
+DATAGRAM_SECONDS = 0.002
 LOSSY_SHARE = 0.3
 # Seconds without failures after which the guarantees apply to a router, and
 # seconds from the store's acknowledgement until it must know a change.
-CALM = 3.0
-KNOWS_WITHIN = 2.0
-CHECK_EVERY = 0.1
+CALM_SECONDS = 3.0
+KNOWN_WITHIN_SECONDS = 2.0
+CHECK_SECONDS = 0.1
 
 
-class _Rows:
+class _RouterRows:
     """The store's rows of routers, as accessed by one router."""
 
     def __init__(self, fleet, number):
@@ -53,10 +53,10 @@
 
     def _check(self):
         self.fleet.store.calls += 1
-        if self.fleet.store.kind_of_trouble(self.number) is not None:
-            self.fleet.scheduler.sleep(virtualstore.MARGIN)
+        if self.fleet.store.failure_kind(self.number) is not None:
+            self.fleet.scheduler.sleep(virtualstore.TIMEOUT_MARGIN_SECONDS)
             raise exceptions.PlatformAnswerLost('no answer')
-        self.fleet.scheduler.sleep(virtualstore.DELAY)
+        self.fleet.scheduler.sleep(virtualstore.ANSWER_SECONDS)
 
 
 class _Network:
@@ -70,28 +70,28 @@
         """Send a datagram; it may be lost."""
         scheduler = self.fleet.scheduler
         other = self.fleet.by_address.get(f'{address[0]}:{address[1]}')
-        if other is None or self.fleet.loses(self.router, other):
+        if other is None or self.fleet.is_dropped(self.router, other):
             return
-        told = msgspec.msgpack.decode(data, type=gossip.Told)
+        message = msgspec.msgpack.decode(data, type=gossip.Told)
         source = self.router.host, self.router.settings.peer_port
-        arrives = max(
-            scheduler.now + PEER_DELAY,
+        arrives_at = max(
+            scheduler.now + DATAGRAM_SECONDS,
             scheduler.frozen.get(other.settings.router_id, 0.0),
         )
-        scheduler.at(arrives, lambda: other.receive(told, source))
+        scheduler.call_at(arrives_at, lambda: other.receive(message, source))
 
     def call(self, method, address, path, cls):
         """Fetch another router's state."""
         scheduler = self.fleet.scheduler
         other = self.fleet.by_address.get(address)
-        scheduler.sleep(PEER_DELAY)
+        scheduler.sleep(DATAGRAM_SECONDS)
         name = other.settings.router_id if other else ''
         is_frozen = scheduler.frozen.get(name, 0.0) > scheduler.now
-        if other is None or is_frozen or self.fleet.cuts(self.router, other):
+        if other is None or is_frozen or self.fleet.is_cut(self.router, other):
             scheduler.sleep(peers.READ_TIMEOUT)
             raise calls.AnswerLost(address)
         state = other.peers.state_for(int(path.partition('=')[2]))
-        scheduler.sleep(PEER_DELAY)
+        scheduler.sleep(DATAGRAM_SECONDS)
         return state
 
 
@@ -125,7 +125,7 @@
         )
         network = _Network(fleet, self)
         tell = self.directory.on_receive
-        rows = _Rows(fleet, number)
+        rows = _RouterRows(fleet, number)
         followers = following.make_followers(
             lambda: self.peers.polling_slot(),
             lambda: self.peers.role(),
@@ -152,17 +152,17 @@
             scheduler.spawn(self.settings.router_id, part.run)
         scheduler.spawn(self.settings.router_id, self._tick)
         self.scheduler = scheduler
-        self.shown = {TABLE: 0, ENDPOINTS: 0}
+        self.last_versions = {TABLE: 0, ENDPOINTS: 0}
 
     def _tick(self):
         while True:
             self.scheduler.sleep(0.25)
             self.directory.on_tick(directory.Tick())
 
-    def receive(self, told, source):
+    def receive(self, message, source):
         """Receive a datagram."""
         if self.is_up:
-            self.gossip.take(told, source)
+            self.gossip.take(message, source)
 
     def versions(self):
         """Return the version of each source in force."""
@@ -182,7 +182,7 @@
         self.scheduler = virtualtime.Scheduler()
         self.rng = random.Random(schedule.seed)
         self.store = virtualstore.Store(
-            self.scheduler, schedule.troubles, self.rng
+            self.scheduler, schedule.failures, self.rng
         )
         self.rows = {}
         self.by_address = {}
@@ -190,12 +190,12 @@
         self.violations = []
 
     def start(self, number):
-        """Start a router, for the first time or after `end`."""
+        """Start a router, for the first time or after `kill`."""
         router = Router(self, number)
         self.routers[number] = router
         self.by_address[f'{router.host}:7000'] = router
 
-    def end(self, number):
+    def kill(self, number):
         """Kill a router."""
         router = self.routers.pop(number, None)
         if router is not None:
@@ -203,30 +203,31 @@
             del self.by_address[f'{router.host}:7000']
             self.scheduler.kill(router.settings.router_id)
 
-    def cuts(self, one, other):
+    def is_cut(self, one, other):
         """Return whether two routers can't reach each other now."""
         return any(
-            trouble.kind in ('cut', 'isolated')
-            for trouble in self._striking(one, other)
+            failure.kind in ('cut', 'isolated')
+            for failure in self._active_failures(one, other)
         )
 
-    def loses(self, one, other):
+    def is_dropped(self, one, other):
         """Return whether a datagram between two routers is lost."""
-        if self.cuts(one, other):
+        if self.is_cut(one, other):
             return True
         is_lossy = any(
-            trouble.kind == 'lossy' for trouble in self._striking(one, other)
+            failure.kind == 'lossy'
+            for failure in self._active_failures(one, other)
         )
         return is_lossy and self.rng.random() < LOSSY_SHARE
 
-    def _striking(self, *routers):
-        passed = self.scheduler.now - virtualtime.START
-        for trouble in self.schedule.troubles:
-            if trouble.at <= passed < trouble.ends:
-                if any(trouble.strikes(router.number) for router in routers):
-                    yield trouble
+    def _active_failures(self, *routers):
+        elapsed = self.scheduler.now - virtualtime.START
+        for failure in self.schedule.failures:
+            if failure.at <= elapsed < failure.ends_at:
+                if any(failure.affects(router.number) for router in routers):
+                    yield failure
 
-    def arrange(self):
+    def set_up(self):
         """Start the routers and schedule all events of the run."""
         start = virtualtime.START
         for number in range(self.schedule.routers):
@@ -234,53 +235,60 @@
         for source in (TABLE, ENDPOINTS):
             self.store.write(source)
         for change in self.schedule.changes:
-            self.scheduler.at(
+            self.scheduler.call_at(
                 start + change.at,
                 lambda source=change.source: self.store.write(source),
             )
-        for trouble in self.schedule.troubles:
-            self.scheduler.at(
-                start + trouble.at, lambda each=trouble: self._begin(each)
+        for failure in self.schedule.failures:
+            self.scheduler.call_at(
+                start + failure.at,
+                lambda each=failure: self._start_failure(each),
             )
-            after = start + trouble.ends + virtualstore.DELAY
-            self.scheduler.at(after, self.store.tell_waiting)
-        self.scheduler.at(start, self._check)
-
-    def _begin(self, trouble):
-        self.store.trouble_begins(trouble)
-        ends = virtualtime.START + trouble.ends
-        for number in trouble.who or range(self.schedule.routers):
+            after = start + failure.ends_at + virtualstore.ANSWER_SECONDS
+            self.scheduler.call_at(after, self.store.answer_waiting)
+        self.scheduler.call_at(start, self._check)
+
+    def _start_failure(self, failure):
+        self.store.apply_failure(failure)
+        ends_at = virtualtime.START + failure.ends_at
+        for number in failure.affected or range(self.schedule.routers):
             name = f'r{number}'
-            if trouble.kind == 'frozen':
-                until = max(ends, self.scheduler.frozen.get(name, 0.0))
+            if failure.kind == 'frozen':
+                until = max(ends_at, self.scheduler.frozen.get(name, 0.0))
                 self.scheduler.frozen[name] = until
-            elif trouble.kind == 'restart':
-                self.end(number)
-                self.scheduler.at(ends, lambda n=number: self._start_again(n))
+            elif failure.kind == 'restart':
+                self.kill(number)
+                self.scheduler.call_at(
+                    ends_at, lambda n=number: self._restart(n)
+                )
 
-    def _start_again(self, number):
+    def _restart(self, number):
         if number not in self.routers:
             self.start(number)
 
     def _check(self):
         for router in self.routers.values():
             self._check_router(router)
-        self.scheduler.at(self.scheduler.now + CHECK_EVERY, self._check)
+        self.scheduler.call_at(self.scheduler.now + CHECK_SECONDS, self._check)
 
     def _check_router(self, router):
-        passed = self.scheduler.now - virtualtime.START
-        is_calm = self._is_calm(router.number, passed)
+        elapsed = self.scheduler.now - virtualtime.START
+        is_calm = self._is_calm(router.number, elapsed)
         for source, version in router.versions().items():
-            if version < router.shown[source]:
-                self._violated(router, source, f'went back to {version}')
-            router.shown[source] = version
+            if version < router.last_versions[source]:
+                self._record_violation(
+                    router, source, f'went back to {version}'
+                )
+            router.last_versions[source] = version
             due = [
-                wanted
-                for at, wanted in self.store.acknowledged[source]
-                if at <= self.scheduler.now - KNOWS_WITHIN
+                version_due
+                for at, version_due in self.store.acknowledged[source]
+                if at <= self.scheduler.now - KNOWN_WITHIN_SECONDS
             ]
             if is_calm and due and version < due[-1]:
-                self._violated(router, source, f'{version}, not {due[-1]}')
+                self._record_violation(
+                    router, source, f'{version}, not {due[-1]}'
+                )
 
     def all_know(self, source):
         """Return whether all routers act on a source's last version."""
@@ -290,25 +298,29 @@
             for router in self.routers.values()
         )
 
-    def _violated(self, router, source, what):
+    def _record_violation(self, router, source, detail):
         at = self.scheduler.now - virtualtime.START
         name = router.settings.router_id
-        self.violations.append(f'{at:.1f} {name} {source} {what}')
+        self.violations.append(f'{at:.1f} {name} {source} {detail}')
 
-    def _is_calm(self, number, passed):
-        """Return whether router and store had no failure for `CALM` s."""
-        if passed < CALM:
+    def _is_calm(self, number, elapsed):
+        """Return whether router and store have had no failure lately."""
+        if elapsed < CALM_SECONDS:
             return False
-        for trouble in self.schedule.troubles:
-            mine = trouble.kind in schedules.STORE_KINDS or trouble.strikes(
-                number
+        for failure in self.schedule.failures:
+            is_relevant = (
+                failure.kind in schedules.STORE_KINDS
+                or failure.affects(number)
             )
-            if mine and trouble.at <= passed < trouble.ends + CALM:
+            if (
+                is_relevant
+                and failure.at <= elapsed < failure.ends_at + CALM_SECONDS
+            ):
                 return False
         return True
 
 
-def play(schedule):
+def simulate(schedule):
     """Run a schedule.
 
     Returns
@@ -317,8 +329,8 @@
         Violated guarantees, and the number of store calls.
     """
     fleet = Fleet(schedule)
-    fleet.arrange()
-    fleet.scheduler.run(virtualtime.START + schedule.ends)
+    fleet.set_up()
+    fleet.scheduler.run(virtualtime.START + schedule.ends_at)
     fleet.scheduler.kill()
     return fleet.violations, fleet.store.calls
 
@@ -332,13 +344,13 @@
         Seconds after `since`; the schedule has no changes after that time.
     """
     fleet = Fleet(schedule)
-    fleet.arrange()
+    fleet.set_up()
     until = virtualtime.START + since
-    end = virtualtime.START + schedule.ends
-    while until < end:
+    deadline = virtualtime.START + schedule.ends_at
+    while until < deadline:
         fleet.scheduler.run(until)
         if fleet.all_know(source):
             break
-        until += virtualstore.DELAY
+        until += virtualstore.ANSWER_SECONDS
     fleet.scheduler.kill()
     return fleet.scheduler.now - virtualtime.START - since
--- a/packages/gateway/ibisring_gateway/tests/virtualstore.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualstore.py
@@ -11,11 +11,11 @@
 ENDPOINTS = schedules.ENDPOINTS
 TABLE = schedules.TABLE
 # Seconds that an answer takes.
-DELAY = 0.004
+ANSWER_SECONDS = 0.004
 # Seconds beyond its wait after which a call times out.
-MARGIN = 0.6
+TIMEOUT_MARGIN_SECONDS = 0.6
 # Age in seconds of the state that a store serves during an 'old' failure.
-OLD_BY = 4.0
+STALE_SECONDS = 4.0
 # Share of the answers lost during a 'lost' failure.
 LOST_SHARE = 0.5
 
@@ -49,47 +49,49 @@
         Number of calls received.
     """
 
-    def __init__(self, scheduler, troubles, rng):
+    def __init__(self, scheduler, failures, rng):
         self.scheduler = scheduler
-        self.troubles = troubles
+        self.failures = failures
         self.rng = rng
         self.log = []
         self.waiting = []
         self.acknowledged = {TABLE: [], ENDPOINTS: []}
         self.calls = 0
 
-    def kind_of_trouble(self, number):
+    def failure_kind(self, number):
         """Return the current failure between store and router, or None."""
-        passed = self.scheduler.now - virtualtime.START
-        for trouble in self.troubles:
-            if not trouble.at <= passed < trouble.ends:
+        elapsed = self.scheduler.now - virtualtime.START
+        for failure in self.failures:
+            if not failure.at <= elapsed < failure.ends_at:
                 continue
-            if not trouble.strikes(number):
+            if not failure.affects(number):
                 continue
-            if trouble.kind in schedules.STORE_KINDS:
-                return trouble.kind
-            if trouble.kind in ('unreachable', 'isolated'):
+            if failure.kind in schedules.STORE_KINDS:
+                return failure.kind
+            if failure.kind in ('unreachable', 'isolated'):
                 return 'silent'
         return None
 
-    def trouble_begins(self, trouble):
+    def apply_failure(self, failure):
         """Apply the start of a failure to the waiting calls."""
-        struck = [c for c in self.waiting if trouble.strikes(c.number)]
-        for call in struck:
-            if trouble.kind == 'reset':
+        hit_calls = [c for c in self.waiting if failure.affects(c.number)]
+        for call in hit_calls:
+            if failure.kind == 'reset':
                 call.fail(exceptions.PlatformAnswerLost('reset'))
-            elif trouble.kind in ('silent', 'unreachable', 'isolated'):
+            elif failure.kind in ('silent', 'unreachable', 'isolated'):
                 call.is_lost = True
 
     def write(self, source):
         """Write the next version, after the failure if there is one."""
-        passed = self.scheduler.now - virtualtime.START
-        for trouble in self.troubles:
-            refuses = trouble.kind in ('silent', 'reset', 'busy')
-            if refuses and not trouble.who:
-                if trouble.at <= passed < trouble.ends:
-                    later = virtualtime.START + trouble.ends + 0.05
-                    self.scheduler.at(later, lambda: self.write(source))
+        elapsed = self.scheduler.now - virtualtime.START
+        for failure in self.failures:
+            is_refusing = failure.kind in ('silent', 'reset', 'busy')
+            if is_refusing and not failure.affected:
+                if failure.at <= elapsed < failure.ends_at:
+                    retry_at = virtualtime.START + failure.ends_at + 0.05
+                    self.scheduler.call_at(
+                        retry_at, lambda: self.write(source)
+                    )
                     return
         version = len(self.log) + 1
         if source == TABLE:
@@ -99,24 +101,24 @@
         now = self.scheduler.now
         self.log.append((now, version, source, item))
         self.acknowledged[source].append((now, version))
-        self.tell_waiting()
+        self.answer_waiting()
 
-    def tell_waiting(self):
+    def answer_waiting(self):
         """Answer the waiting calls whose table has changed."""
         for call in list(self.waiting):
             if self._page(call).items:
                 self._finish(call)
 
-    def begin(self, number, source, after, wait):
+    def start_call(self, number, source, after, wait):
         """Start a call; a full read if `after` is None."""
         self.calls += 1
         call = _Call(self.scheduler, number, source, after)
-        arrives = self.scheduler.now + DELAY / 2
-        self.scheduler.at(arrives, lambda: self._arrive(call, wait))
+        arrives_at = self.scheduler.now + ANSWER_SECONDS / 2
+        self.scheduler.call_at(arrives_at, lambda: self._arrive(call, wait))
         return call
 
     def _arrive(self, call, wait):
-        kind = self.kind_of_trouble(call.number)
+        kind = self.failure_kind(call.number)
         if kind == 'silent':
             return
         if kind == 'reset':
@@ -130,36 +132,36 @@
             self._finish(call)
             return
         self.waiting.append(call)
-        ends = self.scheduler.now + wait
-        self.scheduler.at(ends, lambda: self._finish(call))
+        expires_at = self.scheduler.now + wait
+        self.scheduler.call_at(expires_at, lambda: self._finish(call))
 
     def _finish(self, call):
         if call in self.waiting:
             self.waiting.remove(call)
         if call.page is not None or call.error is not None or call.is_lost:
             return
-        kind = self.kind_of_trouble(call.number)
+        kind = self.failure_kind(call.number)
         if kind == 'silent':
             return
         if kind == 'lost' and self.rng.random() < LOST_SHARE:
             return
         call.page = self._page(call)
-        comes = self.scheduler.now + DELAY / 2
-        self.scheduler.at(comes, call.answered.set)
+        arrives_at = self.scheduler.now + ANSWER_SECONDS / 2
+        self.scheduler.call_at(arrives_at, call.answered.set)
 
     def _page(self, call):
-        known = self.log
-        if self.kind_of_trouble(call.number) == 'old':
-            limit = self.scheduler.now - OLD_BY
-            known = [entry for entry in known if entry[0] <= limit]
-        position = known[-1][1] if known else 0
-        mine = [entry for entry in known if entry[2] == call.source]
+        visible = self.log
+        if self.failure_kind(call.number) == 'old':
+            limit = self.scheduler.now - STALE_SECONDS
+            visible = [entry for entry in visible if entry[0] <= limit]
+        position = visible[-1][1] if visible else 0
+        entries = [entry for entry in visible if entry[2] == call.source]
         if call.after is None:
-            items = [entry[3] for entry in mine[-1:]]
+            items = [entry[3] for entry in entries[-1:]]
         else:
-            mine = [entry for entry in mine if entry[1] > call.after]
-            items = [entry[3] for entry in mine]
-        changed = mine[-1][1] if items else 0
+            entries = [entry for entry in entries if entry[1] > call.after]
+            items = [entry[3] for entry in entries]
+        changed = entries[-1][1] if items else 0
         return ports.Page(position, items, changed)
 
 
@@ -183,9 +185,9 @@
             self.call.fail(ports.CallEnded('a new one begins'))
 
     def _run(self, after, wait):
-        call = self.store.begin(self.number, self.name, after, wait)
+        call = self.store.start_call(self.number, self.name, after, wait)
         self.call = call
-        call.answered.wait(wait + MARGIN)
+        call.answered.wait(wait + TIMEOUT_MARGIN_SECONDS)
         self.call = None
         if call.error is not None:
             raise call.error
--- a/packages/gateway/ibisring_gateway/tests/virtualtime.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualtime.py
@@ -50,7 +50,7 @@
         """Return the virtual time."""
         return self.now
 
-    def at(self, when, action):
+    def call_at(self, when, action):
         """Call an action at a time."""
         entry = max(when, self.now), next(self._numbers), action
         heapq.heappush(self._queue, entry)
@@ -59,7 +59,7 @@
         """Run a function as a new task."""
         task = _Task(owner, function, self._main)
         self.tasks.append(task)
-        self.at(self.now, lambda: self.resume(task))
+        self.call_at(self.now, lambda: self.resume(task))
 
     def resume(self, task):
         """Run a task until it waits again, or later if it is suspended."""
@@ -67,7 +67,7 @@
             return
         until = self.frozen.get(task.owner, 0.0)
         if self.now < until:
-            self.at(until, lambda: self.resume(task))
+            self.call_at(until, lambda: self.resume(task))
             return
         task.switch()
 
@@ -78,7 +78,7 @@
     def sleep(self, seconds):
         """Suspend the current task for some seconds."""
         task = greenlet.getcurrent()
-        self.at(self.now + seconds, lambda: self.resume(task))
+        self.call_at(self.now + seconds, lambda: self.resume(task))
         self.wait()
 
     def kill(self, owner=None):
@@ -107,27 +107,27 @@
 
     def __init__(self, scheduler):
         self.scheduler = scheduler
-        self.flag = False
+        self.is_flag_set = False
         self.waiters = []
 
     def is_set(self):
         """Return whether the flag is set."""
-        return self.flag
+        return self.is_flag_set
 
     def set(self):
         """Set the flag and wake all waiting tasks."""
-        self.flag = True
+        self.is_flag_set = True
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
-            self.scheduler.at(self.scheduler.now, waiter)
+            self.scheduler.call_at(self.scheduler.now, waiter)
 
     def clear(self):
         """Reset the flag."""
-        self.flag = False
+        self.is_flag_set = False
 
     def wait(self, seconds):
         """Wait until the flag is set, for at most some seconds."""
-        if self.flag:
+        if self.is_flag_set:
             return True
         scheduler = self.scheduler
         task = greenlet.getcurrent()
@@ -139,6 +139,6 @@
                 scheduler.resume(task)
 
         self.waiters.append(fire)
-        scheduler.at(scheduler.now + seconds, fire)
+        scheduler.call_at(scheduler.now + seconds, fire)
         scheduler.wait()
-        return self.flag
+        return self.is_flag_set
