--- a/packages/gateway/ibisring_gateway/tests/test_watching.py
+++ b/packages/gateway/ibisring_gateway/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""Tests of when attempts are looked at."""
+"""Tests of when attempts are checked."""
 
 import socket
 
@@ -10,7 +10,7 @@
 
 
 class _Watcher(watching.Watcher):
-    """Has no thread; the test looks."""
+    """Has no thread; the tests call `look`."""
 
     def start(self):
         return self
@@ -32,13 +32,13 @@
 
 
 def test_it_sleeps_until_something_is_due():
-    """Gain: 100 wake-ups a second become some 15, at one stream a router."""
+    """Failure: 100 wake-ups a second for one stream, where 15 suffice."""
     assert watching.MOST_SLEEP < selecting.MIN_EVENT_TIMEOUT
     watcher, clock, _ = _watcher()
     assert watcher.sleep(clock()) == watching.IDLE_SLEEP
     attempt, ours, _ = _attempt(watcher, clock)
     assert watcher.sleep(clock()) == pytest.approx(watching.MOST_SLEEP)
-    attempt.silent_at = clock() + 0.02
+    attempt.check_at = clock() + 0.02
     assert watcher.sleep(clock()) == pytest.approx(0.02)
     attempt.looking = True
     assert watcher.sleep(clock()) == pytest.approx(watching.MOST_SLEEP)
@@ -50,7 +50,7 @@
 def test_what_is_due_is_looked_at_once():
     watcher, clock, silent = _watcher()
     attempt, ours, _ = _attempt(watcher, clock)
-    attempt.silent_at = clock() + 0.06
+    attempt.check_at = clock() + 0.06
     watcher.look(clock())
     assert not silent
     clock.now += 0.06
