--- a/packages/gateway/ibisring_gateway/asking.py
+++ b/packages/gateway/ibisring_gateway/asking.py
@@ -107,9 +107,9 @@
     def _note_pace(self, endpoint, status):
         now = self.clock()
         with self.view.lock:
-            before = self.view.book.slowdown(endpoint.id, now)
-            self.view.book.note_slowdown(endpoint.id, status.pace, now)
-            after = self.view.book.slowdown(endpoint.id, now)
+            before = self.view.estimates.slowdown(endpoint.id, now)
+            self.view.estimates.note_slowdown(endpoint.id, status.pace, now)
+            after = self.view.estimates.slowdown(endpoint.id, now)
         if (before < estimates.SLOW_FACTOR) != (after < estimates.SLOW_FACTOR):
             logs.event(LOG, 'pace', endpoint=endpoint.id, pace=status.pace)
 
@@ -119,9 +119,9 @@
         with self.view.lock:
             if alive:
                 self.patience.false_timeout()
-                self.view.book.note_reachable(endpoint.id, now)
+                self.view.estimates.note_reachable(endpoint.id, now)
             else:
-                self.view.book.note_unreachable(endpoint.id, now)
+                self.view.estimates.note_unreachable(endpoint.id, now)
         logs.event(LOG, 'asked_again', endpoint=endpoint.id, alive=alive)
 
 
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -296,14 +296,14 @@
         )
         self.connections.close_except(usable)
         with self.view.lock:
-            self.view.book.retain(usable)
+            self.view.estimates.retain(usable)
             self.view.limits.keep_only(usable)
             for endpoint in usable.values():
                 self.view.limits.record_start(endpoint.id, endpoint.started)
-                belief = self.view.book.get(endpoint.id)
+                belief = self.view.estimates.get(endpoint.id)
                 if belief.started != endpoint.started:
                     belief.started = endpoint.started
-                    self.view.book.note_reachable(endpoint.id, now)
+                    self.view.estimates.note_reachable(endpoint.id, now)
         logs.event(
             LOG,
             'endpoints',
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -75,7 +75,7 @@
         attempt.checks += 1
         lost = self._find_lost(attempt)
         now = self.clock()
-        if attempt.end is not None:
+        if attempt.result is not None:
             return
         if not lost:
             self._nothing_found(attempt, now)
@@ -124,7 +124,7 @@
         names = [stage.endpoint for stage in attempt.stages]
         with self.view.lock:
             gone = {n for n in names if n not in by_id}
-            gone |= {n for n in names if self.view.book.is_dead(n)}
+            gone |= {n for n in names if self.view.estimates.is_dead(n)}
         vouched = self._vouched(attempt)
         asked = [by_id[n] for n in names if n not in gone | vouched]
         questions = [self.asker.ask(endpoint) for endpoint in asked]
@@ -142,9 +142,9 @@
         with self.view.lock:
             for endpoint in asked:
                 if endpoint.id in lost:
-                    self.view.book.note_unreachable(endpoint.id, now)
+                    self.view.estimates.note_unreachable(endpoint.id, now)
                 else:
-                    self.view.book.note_reachable(endpoint.id, now)
+                    self.view.estimates.note_reachable(endpoint.id, now)
         return lost | gone
 
     def _vouched(self, attempt):
@@ -186,8 +186,8 @@
                     self.pool.submit(self._evacuate, attempt, leaving)
         with self.view.lock:
             now = self.clock()
-            names = self.view.book.dead_to_probe(snapshot.endpoints, now)
-            slow = self.view.book.slow_to_probe(now)
+            names = self.view.estimates.dead_to_probe(snapshot.endpoints, now)
+            slow = self.view.estimates.slow_to_probe(now)
         for name in names:
             self.asker.revive(snapshot.endpoints[name])
         for name in slow:
@@ -254,7 +254,7 @@
         )
         if result not in (ports.OrderResult.BEGUN, ports.OrderResult.DONE):
             return False
-        if attempt.end is None:
+        if attempt.result is None:
             self.selector.change_stages(attempt, stages)
             attempt.check_at = self.clock() + AFTER_REPAIR
         return True
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -207,7 +207,7 @@
     def _told(self, now):
         """Build the message that describes this router now."""
         with self.view.lock:
-            book = self.view.book
+            book = self.view.estimates
             tokens = {n: int(each) for n, each in book.own_tokens().items()}
             dead = book.recently_dead(now)
             slow = book.recently_slow(now)
@@ -274,7 +274,7 @@
         reach = min(
             1.0, gossipschedule.MAX_BROADCAST_PEERS / max(1, len(rows))
         )
-        fullest = self.view.book.max_memory_use
+        fullest = self.view.estimates.max_memory_use
         urgent = [getattr(told, name) for name in _URGENT]
         urgent += [lost_at, known.local_changes, limits.changes]
         is_urgent = self.urgent.has_recent_change(now, urgent)
@@ -383,7 +383,7 @@
         """
         now = self.view.clock()
         with self.view.lock:
-            self.view.book.merge_gossip(
+            self.view.estimates.merge_gossip(
                 told.router,
                 told.tokens,
                 told.dead,
@@ -391,8 +391,8 @@
                 told.slow,
                 told.full,
             )
-            self.view.book.merge_loads(told.loads, now)
-            self.view.book.merge_recovered(told.back, now)
+            self.view.estimates.merge_loads(told.loads, now)
+            self.view.estimates.merge_recovered(told.back, now)
         self._take_suspects(told, now)
         self._take_limits(told, now)
         self._hear(told, f'{source[0]}:{source[1]}', now)
--- a/packages/gateway/ibisring_gateway/placing.py
+++ b/packages/gateway/ibisring_gateway/placing.py
@@ -121,7 +121,7 @@
         # On a site that starts nothing is about to be replaced.
         is_whole = any(e.holding is not None for e in staying)
         with self.view.lock:
-            holders = self.view.book.holders(staying, model, now)
+            holders = self.view.estimates.holders(staying, model, now)
         loads = {h.id: h.used / h.capacity for h in holders if h.capacity > 0}
         found = []
         for each in staying:
@@ -189,13 +189,13 @@
                 continue
             if self._is_lost(each.id, now) or self._is_too_slow(each, now):
                 continue
-            if self.view.book.is_probably_leaving(each.id, now):
+            if self.view.estimates.is_probably_leaving(each.id, now):
                 continue
             found.append(each)
         return found
 
     def _is_lost(self, name, now):
-        belief = self.view.book.by_endpoint.get(name)
+        belief = self.view.estimates.by_endpoint.get(name)
         if belief is None or not belief.dead:
             return False
         return now - belief.dead_at >= LOST_AFTER
@@ -206,7 +206,7 @@
         A stage that is many times slower falls behind with the prompts of
         its domain, and all streams there pause.
         """
-        return self.view.book.slowdown(endpoint.id, now) >= TOO_SLOW
+        return self.view.estimates.slowdown(endpoint.id, now) >= TOO_SLOW
 
     def _hold_lease(self, now):
         """Take or keep the right to order, by the store's conditional write.
@@ -343,7 +343,7 @@
 
     def _note_unreachable(self, endpoint):
         with self.view.lock:
-            self.view.book.note_unreachable(endpoint.id, time.monotonic())
+            self.view.estimates.note_unreachable(endpoint.id, time.monotonic())
 
 
 def _load_seconds(endpoint, holding, model):
--- a/packages/gateway/ibisring_gateway/screening.py
+++ b/packages/gateway/ibisring_gateway/screening.py
@@ -109,7 +109,7 @@
             Whether the endpoint has ended; None if that was not asked, or
             can't be told.
         """
-        if attempt.end is not None or attempt.events:
+        if attempt.result is not None or attempt.events:
             return None
         has_ended = self.prober.has_ended(attempt.endpoint)
         if has_ended and self._speaks_against(job, attempt):
--- a/packages/gateway/ibisring_gateway/selecting.py
+++ b/packages/gateway/ibisring_gateway/selecting.py
@@ -108,7 +108,7 @@
         at_risk = self._at_risk(job)
         left = [e for e in left if e.id not in at_risk] or left
         with self.view.lock:
-            ranked = self.view.book.rank(left, now, self.rng.random)
+            ranked = self.view.estimates.rank(left, now, self.rng.random)
         return Choice(ranked[0])
 
     def _noise(self):
@@ -182,7 +182,9 @@
         ]
         with self.view.lock:
             firsts.sort(
-                key=lambda name: self.view.book.first_stage_load(name, now)
+                key=lambda name: self.view.estimates.first_stage_load(
+                    name, now
+                )
             )
         return firsts[: math.ceil(len(firsts) / 2)]
 
@@ -201,7 +203,7 @@
             return []
         endpoints = self.view.snapshot.by_service.get(service.name, ())
         with self.view.lock:
-            book = self.view.book
+            book = self.view.estimates
             holders = book.holders(endpoints, service.model, now, job.avoid)
             left_out = book.excluded_ranges(endpoints, now, job.avoid)
         found = shortage.find(
@@ -211,8 +213,8 @@
 
     def _find(self, endpoints, model, now, demand, heads, avoid):
         with self.view.lock:
-            holders = self.view.book.holders(endpoints, model, now, avoid)
-            self.view.book.note_memory_use(holders)
+            holders = self.view.estimates.holders(endpoints, model, now, avoid)
+            self.view.estimates.note_memory_use(holders)
         chains.jitter_slot_use(holders, self.rng.random)
         found = chains.choose(
             holders, demand, model.layers, self._noise, heads
@@ -256,7 +258,7 @@
         kept = {s.endpoint for s in attempt.stages if s.endpoint not in lost}
         domains = self._domains(attempt)
         with self.view.lock:
-            holders = self.view.book.holders(
+            holders = self.view.estimates.holders(
                 endpoints, model, now, avoid=kept | set(lost)
             )
         # Reading a prompt through a stage in another domain would cross the
@@ -299,24 +301,24 @@
         """Count an attempt at its endpoints."""
         with self.view.lock:
             if attempt.stages:
-                self.view.book.reserve(attempt.stages, attempt.tokens)
+                self.view.estimates.reserve(attempt.stages, attempt.tokens)
             else:
-                self.view.book.get(attempt.endpoint.id).active += 1
+                self.view.estimates.get(attempt.endpoint.id).active += 1
 
     def release(self, attempt):
         """Take back what `reserve` counted."""
         with self.view.lock:
             if attempt.stages:
-                self.view.book.release(attempt.stages, attempt.tokens)
+                self.view.estimates.release(attempt.stages, attempt.tokens)
             else:
-                self.view.book.get(attempt.endpoint.id).active -= 1
+                self.view.estimates.get(attempt.endpoint.id).active -= 1
 
     def change_stages(self, attempt, stages):
         """Count an attempt at other stages from now on."""
         with self.view.lock:
-            self.view.book.release(attempt.stages, attempt.tokens)
+            self.view.estimates.release(attempt.stages, attempt.tokens)
             attempt.stages = stages
-            self.view.book.reserve(attempt.stages, attempt.tokens)
+            self.view.estimates.reserve(attempt.stages, attempt.tokens)
 
     def first_event(self, job, attempt):
         """Give the seconds after which a first event is overdue."""
@@ -334,7 +336,7 @@
         attempt.events += 1
         if attempt.events == 1 and attempt.stages:
             with self.view.lock:
-                self.view.book.note_accepted(
+                self.view.estimates.note_accepted(
                     [s.endpoint for s in attempt.stages], attempt.sent_at
                 )
         if attempt.events > 1:
@@ -363,14 +365,16 @@
         are being given up.
         """
         if answer.wrong_endpoint and not attempt.stages:
-            self.view.book.note_unreachable(culprit, now)
+            self.view.estimates.note_unreachable(culprit, now)
         elif attempt.stages and now - attempt.last_event_at > STALLED:
-            self.view.book.note_unreachable(culprit, now)
+            self.view.estimates.note_unreachable(culprit, now)
         else:
             has_memory = (
                 self._used(attempt, culprit) < estimates.MEMORY_AVAILABLE_SHARE
             )
-            self.view.book.note_refusal(culprit, now, has_memory=has_memory)
+            self.view.estimates.note_refusal(
+                culprit, now, has_memory=has_memory
+            )
 
     def _used(self, attempt, name):
         """Give the share of an engine's memory that is believed taken."""
@@ -380,7 +384,7 @@
         if service.model is None or endpoint is None:
             return 1.0
         now = self.view.clock()
-        book = self.view.book
+        book = self.view.estimates
         for holder in book.holders([endpoint], service.model, now):
             return holder.used / holder.capacity if holder.capacity else 1.0
         return 1.0
@@ -404,7 +408,7 @@
         model = snapshot.index.services[service].model
         endpoints = snapshot.by_service.get(service, ())
         with self.view.lock:
-            holders = self.view.book.holders(
+            holders = self.view.estimates.holders(
                 endpoints, model, now, (attempt.endpoint.id,)
             )
         demand = chains.Demand(
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -66,9 +66,9 @@
         except upstream.Failed as error:
             return self._not_reached(job, attempt, error)
         attempt.socket = conn.sock
-        if attempt.end is not None:
+        if attempt.result is not None:
             conn.close()
-            return attempt.end
+            return attempt.result
         self._set_patience(job, attempt)
         if endpoint.id not in job.sent_to:
             job.sent_to.append(endpoint.id)
@@ -111,7 +111,7 @@
         name = attempt.endpoint.id
         job.avoid.add(name)
         with self.view.lock:
-            self.view.book.note_unreachable(name, self.clock())
+            self.view.estimates.note_unreachable(name, self.clock())
         logs.event(
             LOG,
             'endpoint_unreachable',
@@ -120,16 +120,16 @@
             address=attempt.endpoint.address,
             why=str(error),
         )
-        return attempt.end or attempts.Result.NOT_SENT
+        return attempt.result or attempts.Result.NOT_SENT
 
     def _lost(self, job, attempt, error):
         """Sort a failure after the request was written."""
         job.progress.may_have_run = True
         has_ended = self.screen.lost(job, attempt)
-        if attempt.end is None or attempt.end is attempts.Result.SILENT:
+        if attempt.result is None or attempt.result is attempts.Result.SILENT:
             job.avoid.add(attempt.endpoint.id)
             with self.view.lock:
-                self.view.book.note_response(
+                self.view.estimates.note_response(
                     attempt.endpoint.id, True, self.clock()
                 )
         logs.event(
@@ -138,13 +138,13 @@
             id=job.request.id,
             digest=job.digest.hex(),
             endpoint=attempt.endpoint.id,
-            end=attempt.end.value if attempt.end else None,
+            end=attempt.result.value if attempt.result else None,
             ended=has_ended,
             ran_ms=round((self.clock() - attempt.sent_at) * SECOND_MS),
             events=attempt.events,
             why=str(error),
         )
-        return attempt.end or attempts.Result.LOST
+        return attempt.result or attempts.Result.LOST
 
     def _receive(self, job, attempt, conn, response):
         answer = self.codec.decode_answer(response.status, response.headers)
@@ -155,9 +155,9 @@
             conn.close()
             return self._lost(job, attempt, 'answer to another request')
         with self.view.lock:
-            self.view.book.note_reachable(name, now)
+            self.view.estimates.note_reachable(name, now)
             if answer.load is not None:
-                self.view.book.note_load(name, answer.load, now)
+                self.view.estimates.note_load(name, answer.load, now)
         self._note_limit(attempt, answer, now)
         if answer.refused:
             response.drain_conn()
@@ -178,7 +178,7 @@
             end = self._relay_stream(job, attempt, response, answer)
         else:
             end = self._relay_whole(job, attempt, response, answer)
-        if end is None and answer.delimited and attempt.end is None:
+        if end is None and answer.delimited and attempt.result is None:
             self.connections.give_back(attempt.endpoint, conn)
         else:
             conn.close()
@@ -249,14 +249,14 @@
                     raise upstream.Failed('the answer is too large', True)
         except upstream.Failed as error:
             return self._lost(job, attempt, error)
-        if attempt.end is not None:
+        if attempt.result is not None:
             return self._lost(job, attempt, 'broken off')
         if answer.length is not None and answer.length != size:
             return self._lost(job, attempt, 'short answer')
         self.screen.answered(job)
         failed = answer.status >= 500
         with self.view.lock:
-            self.view.book.note_response(
+            self.view.estimates.note_response(
                 attempt.endpoint.id, failed, self.clock()
             )
         if failed and self._may_try_again(job):
@@ -300,10 +300,10 @@
                 exchange.write(whole)
         except (upstream.Failed, events.Damaged) as error:
             return self._lost(job, attempt, error)
-        if attempt.end is not None:
+        if attempt.result is not None:
             return self._lost(job, attempt, 'broken off')
         with self.view.lock:
-            self.view.book.note_response(
+            self.view.estimates.note_response(
                 attempt.endpoint.id, False, self.clock()
             )
         if not exchange.begun:
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -106,10 +106,10 @@
 def test_an_engine_that_started_again_is_believed_alive():
     actor, view, _ = _directory()
     _endpoints(actor, [build.held_endpoint('x', 0, 8, started=1)])
-    view.book.note_unreachable('x', 10.0)
+    view.estimates.note_unreachable('x', 10.0)
     again = build.held_endpoint('x', 0, 8, started=2)
     _endpoints(actor, [again], whole=False, position=2)
-    assert not view.book.is_dead('x')
+    assert not view.estimates.is_dead('x')
 
 
 def test_an_outage_does_not_empty_the_list():
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -99,17 +99,17 @@
     scene.engines.unreachable.add('m:1')
     scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert scene.attempt.end is None
+    assert scene.attempt.result is None
     assert _names(scene.attempt.stages) == ['h', 'm2', 't']
     assert scene.engines.rerouted[0][:2] == ('h', 'r1')
-    assert scene.view.book.is_dead('m')
+    assert scene.view.estimates.is_dead('m')
 
 
 def test_a_lost_head_ends_the_attempt(scene):
     scene.engines.unreachable.add('h:1')
     scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert scene.attempt.end is attempts.Result.SILENT
+    assert scene.attempt.result is attempts.Result.SILENT
     assert scene.engines.rerouted == []
 
 
@@ -122,7 +122,7 @@
     scene.engines.unreachable.add('m:1')
     scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert scene.attempt.end is None
+    assert scene.attempt.result is None
     assert scene.attempt.check_at > time.monotonic()
     scene.doctor.stop()
 
@@ -163,7 +163,7 @@
     for attempt in others:
         scene.doctor.handle(attempt)
     scene.settle()
-    assert not scene.view.book.is_dead('t')
+    assert not scene.view.estimates.is_dead('t')
     assert scene.engines.queried.count('t:1') <= 4
     moved = [a for a in others if _names(a.stages) == ['h', 'm2', 't']]
     assert len(moved) == len(others)
@@ -173,8 +173,8 @@
     scene.engines.unreachable.update(('h:1', 'm:1', 't:1'))
     scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert not scene.view.book.is_dead('m')
-    assert scene.attempt.end is None
+    assert not scene.view.estimates.is_dead('m')
+    assert scene.attempt.result is None
 
 
 @pytest.mark.parametrize(
@@ -230,7 +230,7 @@
         scene.attempt.may_change_endpoint = may_change_endpoint
         scene.doctor.run_checks()
         scene.settle()
-        assert scene.attempt.end is end
+        assert scene.attempt.result is end
         scene.doctor.stop()
 
 
@@ -252,11 +252,11 @@
 
 
 def test_the_dead_are_asked_again(scene):
-    scene.view.book.note_unreachable('t', time.monotonic() - 10.0)
+    scene.view.estimates.note_unreachable('t', time.monotonic() - 10.0)
     scene.doctor.run_checks()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
-    assert not scene.view.book.is_dead('t')
+    assert not scene.view.estimates.is_dead('t')
 
 
 def test_an_engine_that_answers_late_comes_back(scene):
@@ -267,11 +267,11 @@
     of 35 ms.
     """
     scene.engines.delays['t:1'] = 0.05
-    scene.view.book.note_unreachable('t', time.monotonic() - 10.0)
+    scene.view.estimates.note_unreachable('t', time.monotonic() - 10.0)
     scene.doctor.run_checks()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
-    assert not scene.view.book.is_dead('t')
+    assert not scene.view.estimates.is_dead('t')
 
 
 def test_engines_that_answer_late_are_not_taken_for_lost_again(scene):
@@ -285,10 +285,10 @@
         scene.engines.delays[name] = 0.05
     now = time.monotonic()
     for name in ('h', 'm', 't', 'm2'):
-        scene.view.book.note_unreachable(name, now - 10.0)
+        scene.view.estimates.note_unreachable(name, now - 10.0)
     scene.doctor.run_checks()
     time.sleep(0.3)
     assert scene.doctor.asker.patience.seconds > 0.05
     scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert not any(map(scene.view.book.is_dead, ('h', 'm', 't', 'm2')))
+    assert not any(map(scene.view.estimates.is_dead, ('h', 'm', 't', 'm2')))
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -143,7 +143,9 @@
     for number in range(1, count):
         _hear(known, f'r{number}', 'a', LOST, 10.0)
     assert len(known.store_statuses(11.0)) == count - 1
-    assert known.store_statuses(10.0 + peerreports.ROUTER_TIMEOUT_SECONDS) == {}
+    assert (
+        known.store_statuses(10.0 + peerreports.ROUTER_TIMEOUT_SECONDS) == {}
+    )
     if count == 6:
         assert (
             known.store_statuses(10.0 + peerreports.STORE_STATUS_SECONDS) == {}
--- a/packages/gateway/ibisring_gateway/tests/test_placing.py
+++ b/packages/gateway/ibisring_gateway/tests/test_placing.py
@@ -214,9 +214,9 @@
     engines = builders.Engines()
     view = builders.make_view(_endpoints())
     placer = _placer(view, engines=engines)
-    view.book.get(LOST).dead = True
-    view.book.get(LOST).dead_at = -100.0
-    view.book.get(LOST).ejected_until = 1e12
+    view.estimates.get(LOST).dead = True
+    view.estimates.get(LOST).dead_at = -100.0
+    view.estimates.get(LOST).ejected_until = 1e12
     _look(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
@@ -234,7 +234,7 @@
     placer = _placer(view, engines=engines)
     now = time.monotonic()
     for at in (now - 1.4, now - 1.05, now - 0.4):
-        view.book.note_refusal(LOST, at, has_memory=True)
+        view.estimates.note_refusal(LOST, at, has_memory=True)
     _look(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
--- a/packages/gateway/ibisring_gateway/tests/test_screening.py
+++ b/packages/gateway/ibisring_gateway/tests/test_screening.py
@@ -84,7 +84,7 @@
 def test_nobody_is_asked_about_what_this_router_ended():
     screen = _screen()
     attempt = _attempt(screen)
-    attempt.end = attempts.Result.CALLER_GONE
+    attempt.result = attempts.Result.CALLER_GONE
     assert screen.lost(_job(screen), attempt) is None
     assert screen.prober.asked == 0
 
--- a/packages/gateway/ibisring_gateway/tests/test_selecting.py
+++ b/packages/gateway/ibisring_gateway/tests/test_selecting.py
@@ -80,7 +80,7 @@
 def test_a_suspect_begins_where_few_streams_run():
     """Failure: a bad request ends the engine that has the most streams."""
     view = _chain_view('h1', 'h2', 'h3')
-    view.book.get('h1').first_stage_requests = 60
+    view.estimates.get('h1').first_stage_requests = 60
     job = _job(view, 'model', SUSPECT, is_suspect=True)
     assert 'h1' not in _chosen(view, job)
 
--- a/packages/gateway/ibisring_gateway/tests/test_watching.py
+++ b/packages/gateway/ibisring_gateway/tests/test_watching.py
@@ -65,5 +65,5 @@
     attempt, ours, _ = _attempt(watcher, clock)
     clock.now += 10.0
     watcher.look(clock())
-    assert attempt.end is attempts.Result.DEADLINE
+    assert attempt.result is attempts.Result.DEADLINE
     watcher.remove(ours)
--- a/packages/gateway/ibisring_gateway/view.py
+++ b/packages/gateway/ibisring_gateway/view.py
@@ -74,7 +74,7 @@
     Attributes
     ----------
     lock : threading.Lock
-        Guards `book`, `suspects`, `limits` and `fairness`.
+        Guards `estimates`, `suspects`, `limits` and `fairness`.
     term : int
         Highest lease term known to this router.
     lease_lost_at : float or None
@@ -89,7 +89,7 @@
         self.clock = clock
         self.snapshot = Snapshot()
         self.lock = threading.Lock()
-        self.book = estimates.make_estimate_table()
+        self.estimates = estimates.make_estimate_table()
         self.suspects = suspects.make_suspects()
         self.fairness = fairness.make_fairness()
         self.limits = ratelimits.make_limits(name, domain)
--- a/packages/gateway/ibisring_gateway/watching.py
+++ b/packages/gateway/ibisring_gateway/watching.py
@@ -26,7 +26,7 @@
 
     Attributes
     ----------
-    end : attempts.Result or None
+    result : attempts.Result or None
         Why this router ended the attempt.
     deadline : float
         Monotonic time at which the attempt is given up.
@@ -57,7 +57,7 @@
         'endpoint',
         'stages',
         'socket',
-        'end',
+        'result',
         'deadline',
         'check_at',
         'sent_at',
@@ -77,7 +77,7 @@
         self.endpoint = endpoint
         self.stages = stages
         self.socket = None
-        self.end = None
+        self.result = None
         self.deadline = deadline
         self.check_at = None
         self.sent_at = 0.0
@@ -97,8 +97,8 @@
         Shutting the socket down wakes a thread that is blocked reading from
         it; closing it would not.
         """
-        if self.end is None:
-            self.end = end
+        if self.result is None:
+            self.result = end
         sock = self.socket
         if sock is not None:
             try:
@@ -206,7 +206,7 @@
             if now >= attempt.deadline:
                 attempt.break_off(attempts.Result.DEADLINE)
             elif attempt.check_at is not None and now >= attempt.check_at:
-                if not attempt.looking and attempt.end is None:
+                if not attempt.looking and attempt.result is None:
                     attempt.looking = True
                     self.on_silence(attempt)
 
