--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -1,4 +1,4 @@
-"""Tests of finding lost stages and going round them."""
+"""Tests of detecting lost stages and rerouting around them."""
 
 import time
 
@@ -30,7 +30,7 @@
 
 
 class Scene:
-    """A doctor with an attempt over engines `h`, `m` and `t`."""
+    """A stall handler with an attempt over engines `h`, `m` and `t`."""
 
     def __init__(self, *spares):
         self.engines = builders.Engines()
@@ -42,10 +42,10 @@
             _engine('t', 16, 24),
         ]
         self.endpoints = [*self.chain, *spares]
-        self.view = builders.view_of(self.endpoints, table)
+        self.view = builders.make_view(self.endpoints, table)
         self.watcher = _Watcher()
         self.selector = selecting.make_selector(self.view)
-        self.doctor = doctor_module.make_doctor(
+        self.doctor = doctor_module.make_stall_handler(
             self.view,
             self.engines,
             self.selector,
@@ -55,7 +55,7 @@
         self.attempt = self.new_attempt('r1')
 
     def new_attempt(self, name):
-        """Give an attempt that has delivered events."""
+        """Return an attempt that has delivered events."""
         stages = tuple(
             chains.Stage(e.id, e.address, e.holding.first, e.holding.end)
             for e in self.chain
@@ -63,13 +63,13 @@
         attempt = watching.Attempt(name, self.chain[0], stages, 1e12)
         attempt.events = 5
         attempt.tokens = 10.0
-        attempt.last_at = time.monotonic() - 0.1
+        attempt.last_event_at = time.monotonic() - 0.1
         self.watcher.attempts.append(attempt)
         self.selector.reserve(attempt)
         return attempt
 
     def replace(self, name, **changes):
-        """Change an endpoint as its entry would."""
+        """Change an endpoint as an update of its entry would."""
         fields = {
             f: getattr(self.view.snapshot.endpoints[name], f)
             for f in routing.Endpoint.__struct_fields__
@@ -77,10 +77,10 @@
         fields.update(changes)
         found = dict(self.view.snapshot.endpoints)
         found[name] = routing.Endpoint(**fields)
-        self.view.snapshot = builders.view_of(list(found.values())).snapshot
+        self.view.snapshot = builders.make_view(list(found.values())).snapshot
 
     def settle(self):
-        """Wait for the doctor's threads."""
+        """Wait for the handler's threads."""
         self.doctor.pool.shutdown(wait=True)
 
 
@@ -96,88 +96,85 @@
 
 
 def test_a_lost_stage_is_gone_round_behind_the_same_head(scene):
-    scene.engines.dead.add('m:1')
-    scene.doctor.silent(scene.attempt)
+    scene.engines.unreachable.add('m:1')
+    scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert scene.attempt.end is None
+    assert scene.attempt.result is None
     assert _names(scene.attempt.stages) == ['h', 'm2', 't']
-    assert scene.engines.moved[0][:2] == ('h', 'r1')
-    assert scene.view.book.is_dead('m')
+    assert scene.engines.rerouted[0][:2] == ('h', 'r1')
+    assert scene.view.estimates.is_dead('m')
 
 
 def test_a_lost_head_ends_the_attempt(scene):
-    scene.engines.dead.add('h:1')
-    scene.doctor.silent(scene.attempt)
+    scene.engines.unreachable.add('h:1')
+    scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert scene.attempt.end is attempts.End.SILENT
-    assert scene.engines.moved == []
+    assert scene.attempt.result is attempts.Result.SILENT
+    assert scene.engines.rerouted == []
 
 
 def test_a_stream_is_not_cut_while_no_other_chain_has_room():
-    """Symptom: callers get half a stream and its connection closed.
+    """Failure: a stream is cut off although no other chain can take it over.
 
-    Sequence: a stage is lost; no engine holds its layers; the stream is
-    ended although nobody else could take it.
-    Cause: the end came before the question who would go on.
+    A stage is lost and no other engine holds its layers.
     """
     scene = Scene()
-    scene.engines.dead.add('m:1')
-    scene.doctor.silent(scene.attempt)
+    scene.engines.unreachable.add('m:1')
+    scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert scene.attempt.end is None
-    assert scene.attempt.silent_at > time.monotonic()
+    assert scene.attempt.result is None
+    assert scene.attempt.check_at > time.monotonic()
     scene.doctor.stop()
 
 
 def test_stages_that_deliver_for_others_are_not_asked(scene):
     other = scene.new_attempt('r2')
-    other.last_at = time.monotonic()
-    scene.doctor.silent(scene.attempt)
+    other.last_event_at = time.monotonic()
+    scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert scene.engines.asked == []
+    assert scene.engines.queried == []
 
 
 def test_an_event_that_was_under_way_vouches_for_nothing(scene):
-    """Symptom: streams pause for 0.3 s though a lost stage shows in 0.1 s.
+    """Failure: streams pause for 0.3 s though 0.1 s suffice to find the stage.
 
-    Sequence: a stage dies; events that had passed it still come for other
-    requests; the first look asks nobody, and the next comes 0.1 s later.
-    Cause: any later event vouched for all stages of its chain.
+    A stage dies, and events that had already passed it still arrive for
+    other requests.  They count as proof that all stages of their chains are
+    alive, so the first check queries none, and the next is 0.1 s later.
     """
-    scene.engines.dead.add('m:1')
-    scene.attempt.pace = 0.04
-    scene.attempt.last_at = time.monotonic() - 0.08
+    scene.engines.unreachable.add('m:1')
+    scene.attempt.mean_gap = 0.04
+    scene.attempt.last_event_at = time.monotonic() - 0.08
     other = scene.new_attempt('r2')
-    other.last_at = scene.attempt.last_at + 0.035
-    scene.doctor.silent(scene.attempt)
+    other.last_event_at = scene.attempt.last_event_at + 0.035
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert 'm2' in _names(scene.attempt.stages)
 
 
 def test_many_silent_requests_ask_each_stage_once(scene):
-    """Symptom: every stage of a site seems lost at once.
+    """Failure: every stage of a site seems lost at once.
 
-    Sequence: an engine dies; thirty requests fall silent together; those
-    who wait for answers take all threads, and nobody asks.
-    Cause: waiting and asking shared one pool of threads.
+    An engine dies and thirty requests fall silent together.  Their checks
+    take all threads of a pool shared with the queries that they wait for.
     """
-    scene.engines.dead.add('m:1')
+    scene.engines.unreachable.add('m:1')
     others = [scene.new_attempt(f'q{n}') for n in range(40)]
     for attempt in others:
-        scene.doctor.silent(attempt)
+        scene.doctor.handle(attempt)
     scene.settle()
-    assert not scene.view.book.is_dead('t')
-    assert scene.engines.asked.count('t:1') <= 4
+    assert not scene.view.estimates.is_dead('t')
+    assert scene.engines.queried.count('t:1') <= 4
     moved = [a for a in others if _names(a.stages) == ['h', 'm2', 't']]
     assert len(moved) == len(others)
 
 
 def test_when_all_seem_lost_the_router_doubts_itself(scene):
-    scene.engines.dead.update(('h:1', 'm:1', 't:1'))
-    scene.doctor.silent(scene.attempt)
+    scene.engines.unreachable.update(('h:1', 'm:1', 't:1'))
+    scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert not scene.view.book.is_dead('m')
-    assert scene.attempt.end is None
+    assert not scene.view.estimates.is_dead('m')
+    assert scene.attempt.result is None
 
 
 @pytest.mark.parametrize(
@@ -186,25 +183,24 @@
 )
 def test_requests_move_off_an_engine_that_leaves(scene, changes):
     scene.replace('m', **changes)
-    scene.doctor.look_round()
+    scene.doctor.run_checks()
     scene.settle()
     assert _names(scene.attempt.stages) == ['h', 'm2', 't']
 
 
 def test_a_stage_that_was_given_up_is_replaced_with_the_lost_one():
-    """Symptom: 659 of 788 moves off lost stages are refused.
+    """Failure: 659 of 788 moves off lost stages are refused.
 
-    Sequence: an engine is ordered to other layers and waits for the
-    requests in it; another engine of their chains is lost.
-    Cause: only the lost stage was replaced; a path with a stage that is not
-    there any more is refused.
+    An engine that was ordered to hold other layers waits for its requests,
+    and another engine of their chains is lost.  If only the lost stage is
+    replaced, the path still has the stage that was given up and is refused.
     """
     scene = Scene(
         _engine('m2', 8, 16, card='small'), _engine('t2', 16, 24, card='small')
     )
     scene.replace('t', holding=None)
-    scene.engines.dead.add('m:1')
-    scene.doctor.silent(scene.attempt)
+    scene.engines.unreachable.add('m:1')
+    scene.doctor.handle(scene.attempt)
     scene.settle()
     assert _names(scene.attempt.stages) == ['h', 'm2', 't2']
     scene.doctor.stop()
@@ -212,44 +208,43 @@
 
 @pytest.mark.parametrize('given_up', ('h', 't'))
 def test_requests_end_at_an_engine_that_waits_for_them(given_up):
-    """Symptom: a failure domain lacks four layers for ten seconds.
+    """Failure: a failure domain lacks four layers for ten seconds.
 
-    Sequence: a spare engine is ordered to hold them; a request passes
-    through it that can't be moved, for want of another holder of the layers
-    given up; the engine loads nothing until the request has ended.
-    Cause: requests were moved or left, never started again elsewhere.
+    A spare engine is ordered to hold them, but loads nothing until a request
+    has ended that passes through it.  The request can't be moved, as no other
+    engine holds the layers given up, and isn't restarted elsewhere.
     """
     others = [
         _engine('h2', 0, 40, card='big'),
         _engine('t2', 40, 80, card='big'),
     ]
-    for spares, may_leave, end in (
-        (others, True, attempts.End.SILENT),
+    for spares, may_change_endpoint, end in (
+        (others, True, attempts.Result.SILENT),
         (others, False, None),
         (others[1:], True, None),
     ):
         scene = Scene(*spares)
-        # Keeps the stage from being replaced behind the same first one.
+        # Makes the engine refuse a replacement of stages.
         scene.engines.result = ports.OrderResult.CONFLICT
         scene.replace(given_up, holding=None)
-        scene.attempt.may_leave = may_leave
-        scene.doctor.look_round()
+        scene.attempt.may_change_endpoint = may_change_endpoint
+        scene.doctor.run_checks()
         scene.settle()
-        assert scene.attempt.end is end
+        assert scene.attempt.result is end
         scene.doctor.stop()
 
 
 def test_tries_without_another_engine_use_up_no_moves():
-    """Symptom: a spare engine waits seconds for the requests in it.
+    """Failure: a spare engine waits seconds for the requests in it.
 
-    Sequence: one stage leaves and has no other holder; each look tries to
-    move the request; then another stage is to be emptied.
-    Cause: three tries that could not succeed had used up its moves.
+    One stage leaves and no other engine holds its layers.  Each check tries
+    to move the request, and three failed tries use up its moves, so that it
+    can't be moved when another stage has to be emptied.
     """
     scene = Scene()
     scene.replace('m', state=routing.State.DRAINING)
     for _ in range(6):
-        scene.doctor.look_round()
+        scene.doctor.run_checks()
         time.sleep(0.02)
     scene.settle()
     assert scene.attempt.moves == 0
@@ -257,43 +252,43 @@
 
 
 def test_the_dead_are_asked_again(scene):
-    scene.view.book.unreachable('t', time.monotonic() - 10.0)
-    scene.doctor.look_round()
+    scene.view.estimates.note_unreachable('t', time.monotonic() - 10.0)
+    scene.doctor.run_checks()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
-    assert not scene.view.book.is_dead('t')
+    assert not scene.view.estimates.is_dead('t')
 
 
 def test_an_engine_that_answers_late_comes_back(scene):
-    """Symptom: a fifth of the requests is refused though all engines live.
+    """Failure: a fifth of the requests is refused though all engines run.
 
-    Sequence: an engine answers its status after 50 ms for a while; streams
-    that wait 200 ms are moved off it; it is asked again.
-    Cause: it had to answer that within the same 35 ms.
+    An engine answers status queries after 50 ms for a while.  Streams are
+    moved off it, and the probe that would bring it back has the same timeout
+    of 35 ms.
     """
-    scene.engines.late['t:1'] = 0.05
-    scene.view.book.unreachable('t', time.monotonic() - 10.0)
-    scene.doctor.look_round()
+    scene.engines.delays['t:1'] = 0.05
+    scene.view.estimates.note_unreachable('t', time.monotonic() - 10.0)
+    scene.doctor.run_checks()
     scene.settle()
     scene.doctor.asker.pool.shutdown(wait=True)
-    assert not scene.view.book.is_dead('t')
+    assert not scene.view.estimates.is_dead('t')
 
 
 def test_engines_that_answer_late_are_not_taken_for_lost_again(scene):
-    """Symptom: soak seed 305: engines are taken for lost in turn for ever.
+    """Failure: on a busy machine engines are taken for lost again and again.
 
-    Sequence: on a busy machine engines answer their status after 50 ms; one
-    is taken for lost, comes back, falls silent for a moment, is lost again.
-    Cause: the limit was 35 ms whatever answers took.
+    They answer status queries after 50 ms.  One is taken for lost, comes
+    back, is silent for a moment and is taken for lost again, if the timeout
+    stays at 35 ms however long answers take.
     """
     for name in ('h:1', 'm:1', 't:1', 'm2:1'):
-        scene.engines.late[name] = 0.05
+        scene.engines.delays[name] = 0.05
     now = time.monotonic()
     for name in ('h', 'm', 't', 'm2'):
-        scene.view.book.unreachable(name, now - 10.0)
-    scene.doctor.look_round()
+        scene.view.estimates.note_unreachable(name, now - 10.0)
+    scene.doctor.run_checks()
     time.sleep(0.3)
     assert scene.doctor.asker.patience.seconds > 0.05
-    scene.doctor.silent(scene.attempt)
+    scene.doctor.handle(scene.attempt)
     scene.settle()
-    assert not any(map(scene.view.book.is_dead, ('h', 'm', 't', 'm2')))
+    assert not any(map(scene.view.estimates.is_dead, ('h', 'm', 't', 'm2')))
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of how long a router waits for the store, and whom it asks."""
+"""Tests of tracking peer routers and fetching state from them."""
 
 import msgspec
 import pytest
@@ -11,15 +11,15 @@
 from ibisring_gateway import settings as settings_module
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import catchup
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import polling
 from ibisring_policy.gateway import storereaders
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import routing
 
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWED = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 
 
 def _reads():
@@ -27,7 +27,7 @@
 
 
 def _hear(known, name, domain, touch, at, lost_ms=None, standing=None):
-    """Have a router hear another one."""
+    """Have a router receive a datagram of another one."""
     neighbour = storereaders.Neighbour(name, standing) if standing else None
     heard = peerreports.PeerReport(
         name=name,
@@ -49,7 +49,7 @@
         store='127.0.0.1:3',
         peer_port=0,
     )
-    view = view or builders.view_of([])
+    view = view or builders.make_view([])
     followers = following.make_followers(polling.Fleet, _reads)
     for name in (peers.TABLE, peers.ENDPOINTS):
         followers.add(name, None, name == peers.TABLE, [].append)
@@ -59,7 +59,7 @@
 
 
 def test_a_router_knows_its_place_among_those_that_read():
-    """Two of each domain read; all do while these have lost the store."""
+    """Two routers of each domain read, or all while these lost the store."""
     known = _peers()
     clock = builders.Clock()
     known.view.clock = clock
@@ -67,24 +67,24 @@
     served = storereaders.StoreAccess.SERVED
     for name, domain in (('q1', 'a'), ('r1', 'a'), ('s1', 'b'), ('t1', 'B')):
         _hear(known, name, domain, LOST, clock(), None, served)
-    assert known.place() == polling.Fleet(4, 2, 5)
+    assert known.polling_slot() == polling.Fleet(4, 2, 5)
     for name in ('q1', 'r1'):
         lost = storereaders.StoreAccess.LOST
         _hear(known, name, 'a', LOST, clock(), None, lost)
     known._judge_role(clock())
     assert known.role() is storereaders.Role.ASKS
-    assert known.place() == polling.Fleet(5, 1, 5)
+    assert known.polling_slot() == polling.Fleet(5, 1, 5)
     clock.now += 100.0
     known._judge_role(clock())
-    assert known.place() == polling.Fleet(1, 0, 1)
+    assert known.polling_slot() == polling.Fleet(1, 0, 1)
 
 
 def test_what_others_say_of_the_store_is_passed_on():
-    """Symptom: five of six routers hang on a store that one knows is lost.
+    """Failure: routers wait on a store that another one knows is lost.
 
-    Sequence: the store falls silent; one router's call ends, the others'
-    wait for seconds more, also after its return.
-    Cause: what a router told of the store was heard and not acted upon.
+    The store stops answering; one router's call times out, and the others
+    keep waiting for seconds, even after the store is back, because they
+    ignore the store status in that router's messages.
     """
     known = _peers()
     said = []
@@ -97,11 +97,10 @@
 
 
 def test_a_router_that_is_ahead_is_asked():
-    """Symptom: a revoked key works for as long as a call may wait.
+    """Failure: a revoked key works until the store call times out.
 
-    Sequence: the connection to the store falls silent for good; others
-    have read the change and tell its version.
-    Cause: only the own call's end would have shown it.
+    The connection to the store hangs; other routers have read the change
+    and send its version, but only the end of the own call is acted upon.
     """
     known = _peers()
     view = known.view
@@ -121,9 +120,10 @@
 
 
 def test_a_router_nearby_is_asked_first():
-    """Load: each change of 95 endpoints learnt by 88 routers from others.
+    """Failure: lists of endpoints are fetched across failure domains.
 
-    The list takes 14 KB; two thirds of them would cross between domains.
+    With 88 routers and 95 endpoints each change costs 88 lists of 14 KB, of
+    which two thirds would cross links between domains.
     """
     known = _peers()
     for name, domain in (('far', 'b'), ('near', 'a'), ('away', 'c')):
@@ -134,19 +134,21 @@
 
 @pytest.mark.parametrize('count', (6, 83))
 def test_what_others_know_of_the_store_is_forgotten(count):
-    """Symptom: nobody orders for seconds after a router was killed.
+    """Failure: no router sends orders for seconds after a router was killed.
 
-    Sequence: the store goes away with the router that would take the lead.
-    Cause: it counted as running for as long as in the bound on repeats.
+    The store fails together with the router that would take the lead, and
+    that router still counts as running, for as long as in the retry budget.
     """
     known = _peers()
     for number in range(1, count):
         _hear(known, f'r{number}', 'a', LOST, 10.0)
-    assert len(known.store_touches(11.0)) == count - 1
-    assert known.store_touches(10.0 + peerreports.ROUTER_TIMEOUT_SECONDS) == {}
+    assert len(known.store_statuses(11.0)) == count - 1
+    assert (
+        known.store_statuses(10.0 + peerreports.ROUTER_TIMEOUT_SECONDS) == {}
+    )
     if count == 6:
         assert (
-            known.store_touches(10.0 + peerreports.STORE_STATUS_SECONDS) == {}
+            known.store_statuses(10.0 + peerreports.STORE_STATUS_SECONDS) == {}
         )
 
 
@@ -159,7 +161,7 @@
     data = msgspec.msgpack.encode(news)
     told_us = msgspec.msgpack.decode(data, type=gossip.Told)
     telling.take(told_us, ('10.0.0.1', 7))
-    assert told == [directory.Learnt('x', 5, routing.Holding(0, 8))]
+    assert told == [directory.HoldingReport('x', 5, routing.Holding(0, 8))]
     assert known.view.term == 4
 
 
@@ -171,11 +173,10 @@
 
 
 def test_what_another_router_gave_is_gone_on_from():
-    """Symptom: a router asks others for the whole list again and again.
+    """Failure: a router fetches the whole list from peers again and again.
 
-    Sequence: it misses one change and gets all endpoints from another
-    router; the next change is told from a version that it has by now.
-    Cause: how far it knows the table was noted for the store's answers only.
+    It misses one change and fetches all endpoints from a peer, but does not
+    record their version as known, so that it rejects the next change too.
     """
     known = _peers()
     for follower in known.followers.members.values():
@@ -188,7 +189,7 @@
 
 
 def test_store_and_routers_are_asked_in_turn():
-    """Failure: one of both can't give what was missed."""
+    """Failure: either the store or the peers can't provide what was missed."""
     known = catchup.make_catchup()
     asked = []
     for turn in range(4):
--- a/packages/policy/ibisring_policy/gateway/peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/peerreports.py
@@ -8,7 +8,7 @@
 
 import math
 
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import storereaders
 import msgspec
 
@@ -36,7 +36,7 @@
     name: str
     domain: str
     received_at: float
-    store_status: ordering.StoreTouch
+    store_status: layerorders.StoreStatus
     neighbour: storereaders.Neighbour | None = None
 
     @property
@@ -63,7 +63,7 @@
     Examples
     --------
     >>> reports = make_peer_reports('r1', 'a', 0.0)
-    >>> lost = ordering.StoreTouch.LOST
+    >>> lost = layerorders.StoreStatus.LOST
     >>> for name, domain in (('r2', 'a'), ('r3', 'b')):
     ...     report = PeerReport(
     ...         name=name, domain=domain, received_at=9.0, store_status=lost
@@ -146,7 +146,7 @@
 
         Returns
         -------
-        dict of str to ordering.StoreTouch
+        dict of str to layerorders.StoreStatus
         """
         recent = self.recent(now, STORE_STATUS_SECONDS)
         return {r.name: r.store_status for r in recent if r.has_seen_store}
--- a/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
@@ -1,11 +1,11 @@
 """Tests of which routers count as running, and what they report."""
 
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import storereaders
 
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWED = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 
 
 def _reports(**statuses):
