--- a/packages/policy/ibisring_policy/gateway/tests/poisonload.py
+++ b/packages/policy/ibisring_policy/gateway/tests/poisonload.py
@@ -76,7 +76,7 @@
     def __init__(self, site, seed):
         self.site = site
         self.rng = random.Random(seed)
-        self.known = [suspects.make_suspects() for _ in range(site.routers)]
+        self.suspects = [suspects.make_suspects() for _ in range(site.routers)]
         self.changes = [0] * site.routers
         self.starts = [0] * site.endpoints
         self.up = [True] * site.endpoints
@@ -121,8 +121,8 @@
         self.send(now, request)
 
     def send(self, now, request):
-        known = self.known[request.router]
-        verdict = known.verdict(request.digest, now)
+        own = self.suspects[request.router]
+        verdict = own.verdict(request.digest, now)
         if verdict.refused_until:
             self.outcome.refused += request.digest != POISON
             return
@@ -131,12 +131,12 @@
             return
         if verdict.crashes and request.digest != POISON:
             self.outcome.waited.append(now - request.submitted_at)
-        endpoint = self.choose_endpoint(known, request)
+        endpoint = self.choose_endpoint(own, request)
         if endpoint is None:
             self.fail(now, request)
             return
         if verdict.crashes:
-            known.mark_running(request.digest, f'e{endpoint}')
+            own.mark_running(request.digest, f'e{endpoint}')
         request.endpoint = endpoint
         request.attempts += 1
         self.running[endpoint].append(request)
@@ -146,8 +146,8 @@
         else:
             self.schedule(now + ANSWER_SECONDS, self.answer, request)
 
-    def choose_endpoint(self, known, request):
-        at_risk = known.endpoints_at_risk(request.digest)
+    def choose_endpoint(self, own, request):
+        at_risk = own.endpoints_at_risk(request.digest)
         up = [
             number
             for number, is_up in enumerate(self.up)
@@ -162,9 +162,9 @@
         if request not in self.running[request.endpoint]:
             return
         self.running[request.endpoint].remove(request)
-        known = self.known[request.router]
-        known.mark_finished(request.digest)
-        known.answered(request.digest, now)
+        own = self.suspects[request.router]
+        own.mark_finished(request.digest)
+        own.answered(request.digest, now)
         self.outcome.answered += 1
 
     def crash(self, now, endpoint):
@@ -174,10 +174,10 @@
         self.up[endpoint] = False
         lost, self.running[endpoint] = self.running[endpoint], []
         for request in lost:
-            known = self.known[request.router]
-            known.mark_finished(request.digest)
+            own = self.suspects[request.router]
+            own.mark_finished(request.digest)
             name, started = f'e{endpoint}', self.starts[endpoint]
-            known.crashed(request.digest, name, started, now)
+            own.crashed(request.digest, name, started, now)
             request.excluded = request.excluded | {endpoint}
             self.schedule(now, self.fail, request)
         self.schedule(now + RESTART_SECONDS, self.restart, endpoint)
@@ -203,8 +203,8 @@
             self.schedule(now + CALLER_RETRY_SECONDS, self.send, again)
 
     def send_updates(self, now, router):
-        known = self.known[router]
-        updates = known.updates_to_send(now, self.rng)
+        own = self.suspects[router]
+        updates = own.updates_to_send(now, self.rng)
         if updates:
             for other in range(self.site.routers):
                 if other != router and self.rng.random() > self.site.loss:
@@ -215,7 +215,7 @@
         self.schedule(now + UPDATE_INTERVAL_SECONDS, self.send_updates, router)
 
     def receive_updates(self, now, router, updates):
-        self.known[router].receive_updates(updates, now)
+        self.suspects[router].receive_updates(updates, now)
 
 
 def simulate(site, seed):
--- a/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_peerreports.py
@@ -4,20 +4,20 @@
 from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import storereaders
 
-FOLLOWED = layerorders.StoreStatus.FOLLOWING
+FOLLOWING = layerorders.StoreStatus.FOLLOWING
 LOST = layerorders.StoreStatus.LOST
 
 
 def _reports(**statuses):
     """Make reports of routers of domain a; store statuses by name."""
-    made = peerreports.make_peer_reports('r1', 'a', -100.0)
+    reports = peerreports.make_peer_reports('r1', 'a', -100.0)
     for name, status in statuses.items():
-        made.receive(
+        reports.receive(
             peerreports.PeerReport(
                 name=name, domain='a', received_at=10.0, store_status=status
             )
         )
-    return made
+    return reports
 
 
 def test_a_number_received_at_second_hand_is_not_forwarded():
@@ -27,11 +27,11 @@
     which each hop makes look a little younger.
     Cause: numbers received at second hand were forwarded.
     """
-    made = _reports()
+    reports = _reports()
     for domain in ('b', 'c'):
-        made.receive_counts({domain: (9, 0), 'd': (7, 100)}, domain, 10.0)
-    assert sum(made.router_counts(10.0).values()) == 1 + 9 + 9 + 7
-    assert made.counts_to_send(10.5) == {
+        reports.receive_counts({domain: (9, 0), 'd': (7, 100)}, domain, 10.0)
+    assert sum(reports.router_counts(10.0).values()) == 1 + 9 + 9 + 7
+    assert reports.counts_to_send(10.5) == {
         'a': (1, 0),
         'b': (9, 500),
         'c': (9, 500),
@@ -40,9 +40,9 @@
 
 def test_a_router_that_just_started_sends_no_number():
     """Failure: others consider its domain nearly empty."""
-    made = peerreports.make_peer_reports('r1', 'a', 9.0)
-    assert made.counts_to_send(10.0) == {}
-    assert made.counts_to_send(9.0 + peerreports.COUNT_WARMUP_SECONDS) == {
+    reports = peerreports.make_peer_reports('r1', 'a', 9.0)
+    assert reports.counts_to_send(10.0) == {}
+    assert reports.counts_to_send(9.0 + peerreports.COUNT_WARMUP_SECONDS) == {
         'a': (1, 0)
     }
 
@@ -54,22 +54,22 @@
     only by a call of their own, still report that they follow it.
     Cause: their report counted like that of a router that calls the store.
     """
-    made = _reports(r2=LOST, r3=FOLLOWED)
+    reports = _reports(r2=LOST, r3=FOLLOWING)
     for name, reads in (('r4', True), ('r5', False)):
         neighbour = storereaders.Neighbour(
             name, storereaders.StoreAccess.SERVED, reads_store=reads
         )
-        made.receive(
+        reports.receive(
             peerreports.PeerReport(
                 name=name,
                 domain='a',
                 received_at=10.0,
-                store_status=FOLLOWED,
+                store_status=FOLLOWING,
                 neighbour=neighbour,
             )
         )
-    assert made.store_statuses(10.5) == {
+    assert reports.store_statuses(10.5) == {
         'r2': LOST,
-        'r3': FOLLOWED,
-        'r4': FOLLOWED,
+        'r3': FOLLOWING,
+        'r4': FOLLOWING,
     }
--- a/packages/policy/ibisring_policy/gateway/tests/test_polling.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_polling.py
@@ -10,28 +10,28 @@
 
 
 def _polling(now=10.0):
-    made = polling.make_polling([ROUTES, ENDPOINTS], lambda: 0.5)
+    poller = polling.make_polling([ROUTES, ENDPOINTS], lambda: 0.5)
     for name in (ROUTES, ENDPOINTS):
-        made.answered(name, now, False)
-    return made
+        poller.answered(name, now, False)
+    return poller
 
 
-def _fail_try(made, name, now, fleet=SIX):
+def _fail_try(poller, name, now, fleet=SIX):
     """Make a try without an answer; return when the next may begin."""
-    assert made.begin_call(name, now, fleet) == 0.0
-    made.failed(name, now + polling.TRY_SECONDS, fleet)
+    assert poller.begin_call(name, now, fleet) == 0.0
+    poller.failed(name, now + polling.TRY_SECONDS, fleet)
     now += polling.TRY_SECONDS
-    return now + min(made.delay(ROUTES, now), made.delay(ENDPOINTS, now))
+    return now + min(poller.delay(ROUTES, now), poller.delay(ENDPOINTS, now))
 
 
 @pytest.mark.parametrize('count', (1, 2, 6, 30, 83, 300))
 def test_the_rate_of_calls_is_independent_of_the_fleet_size(count):
     """Load: routers that follow a table in which nothing changes."""
-    made = _polling()
+    poller = _polling()
     fleet = polling.Fleet(count, 0, count)
-    made.begin_call(ROUTES, 10.0, fleet)
-    made.answered(ROUTES, 11.0, False)
-    interval = made.begin_call(ROUTES, 11.0, fleet) / count
+    poller.begin_call(ROUTES, 10.0, fleet)
+    poller.answered(ROUTES, 11.0, False)
+    interval = poller.begin_call(ROUTES, 11.0, fleet) / count
     expected = min(
         polling.CALL_INTERVAL_SECONDS, polling.MAX_WAIT_SECONDS / count
     )
@@ -47,9 +47,11 @@
     """
     ends = []
     for rank in range(count):
-        made = _polling()
-        made.answered(ROUTES, 10.0, True)
-        ends.append(made.begin_call(ROUTES, 10.0, polling.Fleet(count, rank)))
+        poller = _polling()
+        poller.answered(ROUTES, 10.0, True)
+        ends.append(
+            poller.begin_call(ROUTES, 10.0, polling.Fleet(count, rank))
+        )
     gaps = [after - before for before, after in zip([0.0, *ends], ends)]
     assert max(gaps) <= polling.CALL_INTERVAL_SECONDS + 1e-9
 
@@ -64,10 +66,10 @@
     alone = polling.Fleet(1, 0)
     ends = []
     for rank in range(6):
-        made = _polling()
-        made.begin_call(ROUTES, 10.0, alone)
-        made.answered(ROUTES, 11.0, False)
-        ends.append(made.begin_call(ROUTES, 11.0, polling.Fleet(6, rank)))
+        poller = _polling()
+        poller.begin_call(ROUTES, 10.0, alone)
+        poller.answered(ROUTES, 11.0, False)
+        ends.append(poller.begin_call(ROUTES, 11.0, polling.Fleet(6, rank)))
     gaps = [after - before for before, after in zip([0.0, *ends], ends)]
     assert max(gaps) <= polling.CALL_INTERVAL_SECONDS + 1e-9
 
@@ -79,65 +81,65 @@
     Cause: it waited for changes as usual, and for an answer that could not
     come.
     """
-    made = _polling()
-    made.begin_call(ROUTES, 10.0, SIX)
-    made.failed(ROUTES, 15.4, SIX)
-    assert made.begin_call(ROUTES, 15.5, SIX) == 0.0
-    made.answered(ROUTES, 15.6, False)
-    assert made.begin_call(ROUTES, 15.6, SIX) > 0.0
+    poller = _polling()
+    poller.begin_call(ROUTES, 10.0, SIX)
+    poller.failed(ROUTES, 15.4, SIX)
+    assert poller.begin_call(ROUTES, 15.5, SIX) == 0.0
+    poller.answered(ROUTES, 15.6, False)
+    assert poller.begin_call(ROUTES, 15.6, SIX) > 0.0
 
 
 def test_a_failed_call_ends_the_call_of_the_other_table():
-    made = _polling()
-    made.begin_call(ROUTES, 10.0, SIX)
-    made.begin_call(ENDPOINTS, 10.0, SIX)
-    assert made.failed(ROUTES, 15.4, SIX) == [ENDPOINTS]
-    assert made.is_failing(ENDPOINTS)
-    assert made.answered(ROUTES, 15.6, False) == [ENDPOINTS]
-    assert made.delay(ENDPOINTS, 15.6) == 0.0
+    poller = _polling()
+    poller.begin_call(ROUTES, 10.0, SIX)
+    poller.begin_call(ENDPOINTS, 10.0, SIX)
+    assert poller.failed(ROUTES, 15.4, SIX) == [ENDPOINTS]
+    assert poller.is_failing(ENDPOINTS)
+    assert poller.answered(ROUTES, 15.6, False) == [ENDPOINTS]
+    assert poller.delay(ENDPOINTS, 15.6) == 0.0
 
 
 def test_a_short_call_is_not_ended():
     """Failure: calls to a slow store never get the time to be answered."""
-    made = _polling()
-    made.failed(ROUTES, 15.4, SIX)
-    made.begin_call(ROUTES, 15.5, SIX)
-    assert made.outage_suspected(15.6) == []
+    poller = _polling()
+    poller.failed(ROUTES, 15.4, SIX)
+    poller.begin_call(ROUTES, 15.5, SIX)
+    assert poller.outage_suspected(15.6) == []
 
 
 def test_a_recovery_is_noticed_within_one_try_and_pause():
     """By each router itself, at whatever point of a try the store recovers."""
-    made = _polling()
+    poller = _polling()
     now = 20.0
-    made.failed(ROUTES, now, SIX)
+    poller.failed(ROUTES, now, SIX)
     try_times = []
     for number in range(20):
         try_times.append(now)
-        now = _fail_try(made, (ROUTES, ENDPOINTS)[number % 2], now)
+        now = _fail_try(poller, (ROUTES, ENDPOINTS)[number % 2], now)
     gaps = [after - before for before, after in zip(try_times, try_times[1:])]
     assert max(gaps) < 1.5
 
 
 def test_the_tables_alternate_during_an_outage():
     """Load: six routers in an outage; one try per router, not two."""
-    made = _polling()
-    made.failed(ROUTES, 15.0, SIX)
-    made.begin_call(ROUTES, 15.1, SIX)
-    assert made.delay(ENDPOINTS, 15.1) >= polling.TRY_SECONDS
-    made.failed(ROUTES, 15.7, SIX)
-    assert made.delay(ENDPOINTS, 15.7) < made.delay(ROUTES, 15.7)
+    poller = _polling()
+    poller.failed(ROUTES, 15.0, SIX)
+    poller.begin_call(ROUTES, 15.1, SIX)
+    assert poller.delay(ENDPOINTS, 15.1) >= polling.TRY_SECONDS
+    poller.failed(ROUTES, 15.7, SIX)
+    assert poller.delay(ENDPOINTS, 15.7) < poller.delay(ROUTES, 15.7)
 
 
 def test_tries_of_a_large_fleet_are_spread():
     """Load: 88 and 380 routers in an outage of the store."""
     for count in (88, 380):
-        made = _polling()
+        poller = _polling()
         fleet = polling.Fleet(count, 0, count)
-        made.failed(ROUTES, 15.0, fleet)
+        poller.failed(ROUTES, 15.0, fleet)
         now = 15.1
         for _ in range(20):
             begun = now
-            now = _fail_try(made, ROUTES, now, fleet)
+            now = _fail_try(poller, ROUTES, now, fleet)
         assert count / (now - begun) <= 120.0
 
 
@@ -147,12 +149,12 @@
     Sequence: all routers are killed while the store is down; it recovers.
     Cause: the pause between tries grew as for a router that has the tables.
     """
-    made = polling.make_polling([ROUTES, ENDPOINTS], lambda: 1.0)
+    poller = polling.make_polling([ROUTES, ENDPOINTS], lambda: 1.0)
     for _ in range(20):
-        made.failed(ROUTES, 10.0, SIX)
-    pause = made.delay(ROUTES, 10.0)
+        poller.failed(ROUTES, 10.0, SIX)
+    pause = poller.delay(ROUTES, 10.0)
     assert pause <= polling.MAX_INITIAL_RETRY_SECONDS + 1e-9
-    assert made.delay(ENDPOINTS, 10.0) == 0.0
+    assert poller.delay(ENDPOINTS, 10.0) == 0.0
 
 
 def test_a_reported_outage_before_the_last_answer_is_ignored():
@@ -161,14 +163,14 @@
     Each receives a report of it from all others, the last one fifteen seconds
     later, and called the store again each time.
     """
-    made = _polling(10.0)
-    made.begin_call(ROUTES, 10.0, SIX)
-    assert made.outage_reported(9.9) == []
-    assert made.outage_reported(11.0) == [ROUTES]
-    assert made.is_failing(ENDPOINTS)
-    made.answered(ROUTES, 11.2, False)
-    made.begin_call(ROUTES, 11.2, SIX)
-    assert made.outage_reported(11.1) == []
+    poller = _polling(10.0)
+    poller.begin_call(ROUTES, 10.0, SIX)
+    assert poller.outage_reported(9.9) == []
+    assert poller.outage_reported(11.0) == [ROUTES]
+    assert poller.is_failing(ENDPOINTS)
+    poller.answered(ROUTES, 11.2, False)
+    poller.begin_call(ROUTES, 11.2, SIX)
+    assert poller.outage_reported(11.1) == []
 
 
 def test_an_outage_counts_from_its_first_sign():
@@ -178,30 +180,30 @@
     answered before it sends the others anything.
     Cause: it sent only its state at the time of sending.
     """
-    made = _polling(10.0)
-    made.failed(ROUTES, 15.0, SIX)
-    made.failed(ENDPOINTS, 15.1, SIX)
-    made.outage_suspected(15.2)
-    assert made.lost_at == 15.0
-    made.answered(ROUTES, 15.3, False)
-    made.answered(ENDPOINTS, 15.3, False)
-    made.outage_reported(18.0)
-    assert made.lost_at == 15.0
+    poller = _polling(10.0)
+    poller.failed(ROUTES, 15.0, SIX)
+    poller.failed(ENDPOINTS, 15.1, SIX)
+    poller.outage_suspected(15.2)
+    assert poller.lost_at == 15.0
+    poller.answered(ROUTES, 15.3, False)
+    poller.answered(ENDPOINTS, 15.3, False)
+    poller.outage_reported(18.0)
+    assert poller.lost_at == 15.0
 
 
 def test_a_reported_recovery_is_tried_at_once():
     """Load: 88 routers, of which each tries only every few seconds."""
-    made = _polling()
+    poller = _polling()
     fleet = polling.Fleet(88, 0, 88)
     now = 15.0
-    made.failed(ROUTES, now, fleet)
+    poller.failed(ROUTES, now, fleet)
     for _ in range(6):
-        now = _fail_try(made, ROUTES, now, fleet)
-    made.begin_call(ROUTES, now, fleet)
-    made.failed(ROUTES, now, fleet)
-    assert made.delay(ROUTES, now) > polling.RECOVERY_JITTER_SECONDS
-    assert made.recovery_reported(now) == [ROUTES, ENDPOINTS]
-    assert made.delay(ENDPOINTS, now) <= polling.RECOVERY_JITTER_SECONDS
+        now = _fail_try(poller, ROUTES, now, fleet)
+    poller.begin_call(ROUTES, now, fleet)
+    poller.failed(ROUTES, now, fleet)
+    assert poller.delay(ROUTES, now) > polling.RECOVERY_JITTER_SECONDS
+    assert poller.recovery_reported(now) == [ROUTES, ENDPOINTS]
+    assert poller.delay(ENDPOINTS, now) <= polling.RECOVERY_JITTER_SECONDS
 
 
 def test_the_pause_after_a_change_is_bounded():
--- a/packages/policy/ibisring_policy/gateway/tests/test_presence.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_presence.py
@@ -7,15 +7,15 @@
 
 
 def _presence(*names):
-    known = presence.make_presence()
-    known.replace([build.endpoint(name) for name in names], 0.0)
-    return known
+    endpoints = presence.make_presence()
+    endpoints.replace([build.endpoint(name) for name in names], 0.0)
+    return endpoints
 
 
 def test_an_entry_removed_without_an_outage_is_gone_at_once():
-    known = _presence('x', 'y')
-    assert known.remove('x', 1.0)
-    assert set(known.usable()) == {'y'}
+    endpoints = _presence('x', 'y')
+    assert endpoints.remove('x', 1.0)
+    assert set(endpoints.usable()) == {'y'}
 
 
 def test_entries_that_expired_in_an_outage_stay_in_use_for_a_while():
@@ -25,52 +25,52 @@
     recovers, all entries have expired, and are registered again one by one.
     Cause: missing entries counted as endpoints that left.
     """
-    known = _presence('x', 'y')
-    assert known.read_failed(1.0)
-    assert not known.read_failed(2.0)
-    assert known.read_succeeded(6.0)
-    known.replace([], 6.0)
-    assert set(known.usable()) == {'x', 'y'}
-    known.put(build.endpoint('x'), 7.0)
-    assert not known.expire(8.0)
-    assert known.expire(6.0 + presence.REREGISTER_SECONDS)
-    assert set(known.usable()) == {'x'}
+    endpoints = _presence('x', 'y')
+    assert endpoints.read_failed(1.0)
+    assert not endpoints.read_failed(2.0)
+    assert endpoints.read_succeeded(6.0)
+    endpoints.replace([], 6.0)
+    assert set(endpoints.usable()) == {'x', 'y'}
+    endpoints.put(build.endpoint('x'), 7.0)
+    assert not endpoints.expire(8.0)
+    assert endpoints.expire(6.0 + presence.REREGISTER_SECONDS)
+    assert set(endpoints.usable()) == {'x'}
 
 
 def test_an_entry_missing_at_a_peer_that_reads_the_store_is_gone():
-    known = _presence('x', 'y')
-    known.read_failed(1.0)
-    known.replace([build.endpoint('x')], 2.0, confirmed=True)
-    assert set(known.usable()) == {'x'}
+    endpoints = _presence('x', 'y')
+    endpoints.read_failed(1.0)
+    endpoints.replace([build.endpoint('x')], 2.0, confirmed=True)
+    assert set(endpoints.usable()) == {'x'}
 
 
 def test_an_unchanged_entry_is_not_a_change():
-    known = _presence('x')
-    assert not known.put(build.endpoint('x'), 1.0)
-    assert not known.remove('other', 1.0)
-    assert known.drain_changes() == ['x ready']
+    endpoints = _presence('x')
+    assert not endpoints.put(build.endpoint('x'), 1.0)
+    assert not endpoints.remove('other', 1.0)
+    assert endpoints.drain_changes() == ['x ready']
 
 
 def _after_an_outage(served_at):
-    known = presence.make_presence()
-    known.put(build.endpoint('x'), 10.0)
-    known.read_failed(20.0)
+    endpoints = presence.make_presence()
+    endpoints.put(build.endpoint('x'), 10.0)
+    endpoints.read_failed(20.0)
     if served_at is not None:
-        known.store_served_peer(served_at)
-    known.read_succeeded(28.0)
-    known.remove('x', 28.0)
-    return known
+        endpoints.store_served_peer(served_at)
+    endpoints.read_succeeded(28.0)
+    endpoints.remove('x', 28.0)
+    return endpoints
 
 
 @pytest.mark.parametrize('served_at', (None, 19.0, 24.0))
 def test_an_entry_that_expired_in_an_outage_is_kept_for_the_grace_time(
     served_at,
 ):
-    known = _after_an_outage(served_at)
-    assert 'x' in known.usable()
-    assert not known.expire(28.0 + presence.REREGISTER_SECONDS - 0.1)
-    assert known.expire(28.0 + presence.REREGISTER_SECONDS)
-    assert known.usable() == {}
+    endpoints = _after_an_outage(served_at)
+    assert 'x' in endpoints.usable()
+    assert not endpoints.expire(28.0 + presence.REREGISTER_SECONDS - 0.1)
+    assert endpoints.expire(28.0 + presence.REREGISTER_SECONDS)
+    assert endpoints.usable() == {}
 
 
 def test_an_entry_removed_while_only_this_router_was_rejected_is_gone():
