--- a/packages/policy/ibisring_policy/gateway/chains.py
+++ b/packages/policy/ibisring_policy/gateway/chains.py
@@ -18,9 +18,9 @@
 import msgspec
 
 # The unit of cost is one layer at step factor 1, which takes 0.09 ms per event
-# including the wait for the forward pass under way (fitted to 3,191 streams of three
-# days without failures: 0.22, 0.48 and 1.4 ms per layer on cards of step
-# factor 2.4, 5.3 and 16).
+# including the wait for the forward pass under way (fitted to 3,191 streams
+# of three days without failures: 0.22, 0.48 and 1.4 ms per layer on cards of
+# step factor 2.4, 5.3 and 16).
 # One more stage: 0.5 ms per event for the hop, and one more engine whose loss
 # pauses the stream; on a day with many failures, one in 150 streams of 3 s
 # meets such a loss.
--- a/packages/policy/ibisring_policy/gateway/layerorders.py
+++ b/packages/policy/ibisring_policy/gateway/layerorders.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to order engines, and what was ordered."""
+"""The lease to order engines to load layers, and the orders sent."""
 
 __all__ = [
     'StoreStatus',
@@ -16,66 +16,65 @@
 from ibisring_records import routing
 import msgspec
 
-# Seconds that a lease lasts by its holder's clock, and for everyone else:
-# the difference covers a holder that sends its last order late.  An engine
-# refuses what does not carry its count of orders, so a lease only spares
-# double work; a holder that is killed keeps missing layers away for as long.
+# Duration of a lease by its holder's clock, and until other routers may take
+# it over: the difference allows for a holder that sends its last order late.
+# An engine refuses an order without its present count of orders, so a lease
+# only saves duplicate work; if a holder is killed, missing layers stay missing
+# until the lease can be taken over.
 LEASE_SECONDS = 0.8
 LEASE_TAKEOVER_SECONDS = 1.2
-# Routers act after a random part of this, in seconds, so that one of them
-# usually finds that another has begun.
+# Routers wait for a random part of this before they take the lease, so that
+# one of them usually finds that another has taken it.
 MAX_LEASE_DELAY_SECONDS = 0.3
-# Seconds for which the store must have failed before a router orders without
-# the lease, and for which it may then: an answer that was lost is no outage.
+# How long the store must have failed before a router orders without the lease
+# (a single lost response is no outage), and for how long it then may.
 MIN_OUTAGE_SECONDS = 0.6
-WITHOUT_STORE_FOR = 0.5
-# Seconds between two reads of the lease, where nothing says when it ends.
-READ_AGAIN = 1.0
-# A site where no engine holds anything is planned once no engine has come
-# for this many seconds: a plan for the first few that register would be
-# undone when the others come.
+STORELESS_LEAD_SECONDS = 0.5
+# Time between two reads of the lease if its expiry is not known.
+LEASE_READ_INTERVAL_SECONDS = 1.0
+# A site where no engine holds layers is planned once no engine has registered
+# for this long: a plan for the first few engines would be undone when the
+# others register.
 REGISTRATION_SETTLE_SECONDS = 1.0
-# An engine that comes in a release is there about a second before the one
-# that it replaces leaves; seconds.
-REPLACES_WITHIN = 1.6
-# Seconds in which an order that was accepted shows in the engine's entry,
-# beside the time of the load, which is half as long again as by itself where
-# other engines load too.
+# In a rolling release, a new engine registers about a second before the one
+# that it replaces leaves.
+REPLACEMENT_SECONDS = 1.6
+# Time until an accepted order shows in the engine's entry, in addition to the
+# loading time, which is half as long again while other engines load too.
 ORDER_VISIBLE_SECONDS = 1.0
 LOAD_TIME_FACTOR = 1.5
-UNKNOWN_FOR = 1.5
-# Seconds before an engine that refused an order is asked again, and before
-# one that gave its layers up but can't load yet is counted on again.
+UNKNOWN_RESULT_SECONDS = 1.5
+# How long an engine that refused an order gets no other, and how long one
+# that has given up its layers but can't load yet is left out of the plan.
 BUSY_SECONDS = 0.5
 UNLOADING_SECONDS = 1.0
 
 
 class StoreStatus(enum.IntEnum):
-    """What a router knows of the store, as it tells the others."""
+    """A router's view of the store, as sent to other routers."""
 
     UNKNOWN = 0
     LOST = 1
     FOLLOWING = 2
 
 
-def leads_without_store(router_id, lost_for, heard):
-    """Say whether this router orders while the store is away.
+def leads_without_store(router_id, outage_seconds, peer_statuses):
+    """Return whether this router orders engines during a store outage.
 
-    An outage of eight seconds in which an engine is lost would leave its
-    failure domain without those layers for as long: nobody can take the
-    lease.  The lease only keeps routers from doing the same work twice.
-    What an order may do is decided by the engine itself, which refuses one
-    that does not carry its present count of orders, so two routers that
-    both take the lead do no harm.
+    If an engine is lost during an outage, nobody can take the lease, and the
+    failure domain would lack its layers until the store is back, for example
+    for eight seconds.  The lease only prevents duplicate work: an engine
+    refuses an order that does not carry its present count of orders, so two
+    routers that both send orders do no harm.
 
     Parameters
     ----------
     router_id : str
-    lost_for : float
+    outage_seconds : float
         Seconds since the store last answered this router.
-    heard : dict of str to StoreStatus
-        What other routers told lately.  While one of them follows the store
-        the lease can be taken there.
+    peer_statuses : dict of str to StoreStatus
+        Recent status of other routers.  While one of them follows the store,
+        it can take the lease.
 
     Returns
     -------
@@ -88,19 +87,21 @@
     >>> leads_without_store('b', 2.0, {'a': StoreStatus.LOST})
     False
     """
-    if lost_for < MIN_OUTAGE_SECONDS:
+    if outage_seconds < MIN_OUTAGE_SECONDS:
         return False
-    if StoreStatus.FOLLOWING in heard.values():
+    if StoreStatus.FOLLOWING in peer_statuses.values():
         return False
-    others = [n for n, touch in heard.items() if touch is StoreStatus.LOST]
+    others = [
+        n for n, status in peer_statuses.items() if status is StoreStatus.LOST
+    ]
     return all(router_id < name for name in others)
 
 
 class LeaseRow(msgspec.Struct):
-    """The lease as the store holds it.
+    """The lease as stored.
 
-    `term` grows with each holder and serves as fencing token; `version` is
-    the store's, for the condition of a write.
+    `term` grows with each acquisition and serves as fencing token; `version`
+    is that of the stored row, on which a write is conditional.
     """
 
     holder: str
@@ -109,17 +110,17 @@
 
 
 class Lease:
-    """When a router takes the lease, and whether it still holds it.
+    """Decides when a router takes the lease, and whether it holds it.
 
-    The lease is taken only when something is to be ordered, so an idle site
-    makes no calls for it.  A contender waits until the row has stood
-    unchanged for a lease's time by its own clock: no clocks are compared.
+    The lease is taken only when there is something to order, so an idle site
+    makes no calls for it.  Another router waits until the row has not changed
+    for the takeover time by its own clock: no clocks are compared.
 
     Parameters
     ----------
     router_id : str
     draw : float
-        Random, from 0 up to, without, 1.
+        Random, from 0 up to but excluding 1.
     """
 
     __slots__ = (
@@ -144,7 +145,10 @@
         self.read_again_at = 0.0
 
     def may_act(self, wanted, now):
-        """Say whether a wish to order has stood for this router's delay."""
+        """Return whether to order now, or to try to take the lease for it.
+
+        `wanted` tells whether there is anything to order.
+        """
         if not wanted:
             self.wanted_since = None
             return False
@@ -156,15 +160,15 @@
             return False
         if now - self.wanted_since < self.delay:
             return False
-        self.read_again_at = now + READ_AGAIN
+        self.read_again_at = now + LEASE_READ_INTERVAL_SECONDS
         return True
 
     def is_held(self, now):
-        """Say whether this router may send an order now."""
+        """Return whether this router may send an order now."""
         return now < self.held_until
 
     def next_row(self, row, now):
-        """Give the row to write, or None while another holds the lease.
+        """Return the row to write, or None while another router holds it.
 
         Parameters
         ----------
@@ -178,46 +182,46 @@
             if row.version != self.seen_version:
                 self.seen_version = row.version
                 self.seen_at = now
-            ends_at = self.seen_at + LEASE_TAKEOVER_SECONDS
-            if now < ends_at:
-                self.read_again_at = ends_at
+            takeover_at = self.seen_at + LEASE_TAKEOVER_SECONDS
+            if now < takeover_at:
+                self.read_again_at = takeover_at
                 return None
         self.term = row.term + 1
         return LeaseRow(self.router_id, row.term + 1, row.version)
 
-    def note_acquired(self, asked_at):
-        """Note a write that succeeded, by the time just before it."""
-        self.held_until = asked_at + LEASE_SECONDS
+    def note_acquired(self, requested_at):
+        """Note that a write, begun at `requested_at`, has succeeded."""
+        self.held_until = requested_at + LEASE_SECONDS
 
     def note_lost(self):
-        """Give the lease up: an engine has seen a later holder's token."""
+        """Drop the lease, as an engine has seen a newer fencing token."""
         self.held_until = -1.0
 
     def lead_without_store(self, now):
-        """Order without the lease for a moment; see `leads_without_store`."""
-        self.held_until = max(self.held_until, now + WITHOUT_STORE_FOR)
+        """Allow orders briefly, as decided by `leads_without_store`."""
+        self.held_until = max(self.held_until, now + STORELESS_LEAD_SECONDS)
 
     def note_term(self, term):
-        """Note a term that another router knows.
+        """Note a term known to another router.
 
-        Engines that look at the fencing token refuse one that is lower than
-        they have seen.
+        Engines that check the fencing token refuse one that is lower than
+        the highest they have seen.
         """
         self.term = max(self.term, term)
 
 
 class Registrations:
-    """Tells when the engines of a site that starts have registered."""
+    """Tracks the registration of engines, on a starting site and later."""
 
-    __slots__ = ('names', 'changed_at', 'came_at')
+    __slots__ = ('names', 'changed_at', 'registered_at')
 
     def __init__(self):
         self.names = frozenset()
         self.changed_at = 0.0
-        self.came_at = {}
+        self.registered_at = {}
 
     def are_settled(self, endpoints, now):
-        """Say whether to plan for these engines.
+        """Return whether the engines are known well enough to plan for them.
 
         Parameters
         ----------
@@ -228,7 +232,9 @@
         if names != self.names:
             self.names = names
             self.changed_at = now
-            self.came_at = {n: self.came_at.get(n, now) for n in names}
+            self.registered_at = {
+                n: self.registered_at.get(n, now) for n in names
+            }
         if any(e.holding is not None for e in endpoints):
             return True
         return (
@@ -237,34 +243,46 @@
         )
 
     def has_just_registered(self, endpoint, now):
-        """Say whether an engine may be meant to replace another."""
-        came_at = self.came_at.get(endpoint.id, now)
-        return now - came_at < REPLACES_WITHIN
+        """Return whether an engine is so new that it may replace another."""
+        registered_at = self.registered_at.get(endpoint.id, now)
+        return now - registered_at < REPLACEMENT_SECONDS
 
 
 class _Order(msgspec.Struct):
     holding: routing.Holding
     started: int
-    expected: int
-    until: float
-    before: routing.Holding | None
+    expected_orders: int
+    overdue_at: float
+    previous: routing.Holding | None
 
 
 class OrderTracker:
-    """Orders sent and not yet seen in the engines' entries."""
+    """Tracks orders sent that engines' entries do not show yet.
 
-    __slots__ = ('pending', 'counts', 'clock_now', 'blocked', 'emptying')
+    Attributes
+    ----------
+    order_counts : dict of str to (int, int or None)
+        The start time of each engine, and the orders it has accepted since.
+    """
+
+    __slots__ = (
+        'pending',
+        'order_counts',
+        'updated_at',
+        'blocked',
+        'unloading',
+    )
 
     def __init__(self):
         self.pending = {}
-        self.counts = {}
-        self.clock_now = 0.0
+        self.order_counts = {}
+        self.updated_at = 0.0
         self.blocked = {}
-        self.emptying = {}
+        self.unloading = {}
 
     def update(self, endpoints, now):
-        """Forget orders that show, that never will, or of engines gone."""
-        self.clock_now = now
+        """Drop orders that show or are overdue, or whose engines have gone."""
+        self.updated_at = now
         by_id = {e.id: e for e in endpoints}
         for name, order in list(self.pending.items()):
             endpoint = by_id.get(name)
@@ -274,96 +292,99 @@
                 or endpoint.holding == order.holding
             ):
                 del self.pending[name]
-            elif now >= order.until:
+            elif now >= order.overdue_at:
                 del self.pending[name]
-                if order.before is not None and endpoint.holding is None:
-                    self._note_emptying(endpoint)
+                if order.previous is not None and endpoint.holding is None:
+                    self._note_unloading(endpoint)
 
-    def _note_emptying(self, endpoint):
-        until = self.clock_now + UNLOADING_SECONDS
-        self.emptying[endpoint.id] = endpoint.started, until
+    def _note_unloading(self, endpoint):
+        until = self.updated_at + UNLOADING_SECONDS
+        self.unloading[endpoint.id] = endpoint.started, until
 
     def is_unloading(self, endpoint, now):
-        """Say whether an engine waits for the requests in it.
+        """Return whether an engine waits for its active requests to end.
 
-        It has given its layers up and loads others only when the last of
-        these requests has ended, which may take fifteen seconds.  Counted as
-        the holder of the layers that it was ordered to, it would keep others
-        from being ordered to them.
+        It has given up its layers, and loads others only when the last of
+        these requests has ended, which may take fifteen seconds.  If it
+        counted as holder of the ordered layers, no other engine would be
+        ordered to load them.
         """
         if endpoint.holding is not None:
             return False
-        started, until = self.emptying.get(endpoint.id, (None, -1.0))
+        started, until = self.unloading.get(endpoint.id, (None, -1.0))
         return started == endpoint.started and now < until
 
     def expected_holding(self, endpoint, now):
-        """Give what an engine holds or has been ordered to hold."""
+        """Return the range that an engine holds or was ordered to hold."""
         order = self.pending.get(endpoint.id)
         return order.holding if order is not None else endpoint.holding
 
     def accepted_orders(self, endpoint):
-        """Give the orders that an engine has accepted, if that is known.
+        """Return the number of orders that an engine has accepted.
 
-        None says that it must be asked.  An engine that holds nothing has
-        most likely just started and accepted none.
+        None if it must be queried.  An engine that holds nothing has most
+        likely just started and accepted none.
         """
-        known = self.counts.get(endpoint.id)
+        known = self.order_counts.get(endpoint.id)
         if known is not None and known[0] == endpoint.started:
             return known[1]
         return 0 if endpoint.holding is None else None
 
     def note_accepted_orders(self, endpoint, orders):
-        """Note how many orders an engine says it has accepted."""
-        self.counts[endpoint.id] = endpoint.started, orders
+        """Note the number of accepted orders that an engine reported."""
+        self.order_counts[endpoint.id] = endpoint.started, orders
 
     def note_busy(self, endpoint, now):
-        """Note that an engine still carries an order out.
+        """Note that an engine is still executing an order.
 
-        It gives layers up only when the requests that pass through them
-        have ended, and refuses other orders until then.
+        It gives up layers only when the requests that use them have ended,
+        and refuses other orders until then.
         """
         self.blocked[endpoint.id] = now + BUSY_SECONDS
 
     def is_blocked(self, endpoint, now):
-        """Say whether an engine is known to refuse orders now."""
+        """Return whether an engine is expected to refuse orders now."""
         return self.blocked.get(endpoint.id, -1.0) > now
 
-    def note_order(self, endpoint, holding, expected, result, seconds):
-        """Note an order and what became of it.
+    def note_order(self, endpoint, holding, expected_orders, result, seconds):
+        """Note an order and its result.
 
         Parameters
         ----------
         endpoint : routing.Endpoint
         holding : routing.Holding
-        expected : int
-            The engine's count of orders before this one.
+        expected_orders : int
+            The engine's count of accepted orders before this one.
         result : str
         seconds : float
             Time to load the layers that the engine does not hold yet.
         """
-        shows = ORDER_VISIBLE_SECONDS + LOAD_TIME_FACTOR * seconds
+        visible_after = ORDER_VISIBLE_SECONDS + LOAD_TIME_FACTOR * seconds
         if result == 'begun':
-            self.counts[endpoint.id] = endpoint.started, expected + 1
+            self.order_counts[endpoint.id] = (
+                endpoint.started,
+                expected_orders + 1,
+            )
         elif result == 'unknown':
-            self.counts[endpoint.id] = endpoint.started, None
-            shows = UNKNOWN_FOR
+            self.order_counts[endpoint.id] = endpoint.started, None
+            visible_after = UNKNOWN_RESULT_SECONDS
         elif result in ('conflict', 'wrong', 'stale'):
-            self.counts[endpoint.id] = endpoint.started, None
-            self.note_busy(endpoint, self.clock_now)
+            self.order_counts[endpoint.id] = endpoint.started, None
+            self.note_busy(endpoint, self.updated_at)
             if endpoint.holding is None:
-                self._note_emptying(endpoint)
+                self._note_unloading(endpoint)
             return
         self.pending[endpoint.id] = _Order(
             holding,
             endpoint.started,
-            expected,
-            self.clock_now + shows,
+            expected_orders,
+            self.updated_at + visible_after,
             endpoint.holding,
         )
 
 
 def make_lease(router_id, draw):
-    """Make a `Lease` of a router."""
+    """Make a `Lease` for a router."""
     return Lease(router_id, draw)
 
 
