--- a/packages/policy/ibisring_policy/gateway/__init__.py
+++ b/packages/policy/ibisring_policy/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions of the gateway, which routes over engines of joint layers."""
+"""Decisions of the gateway, which routes over chains of engines; no I/O."""
--- a/packages/policy/ibisring_policy/gateway/layers.py
+++ b/packages/policy/ibisring_policy/gateway/layers.py
@@ -1,44 +1,44 @@
-"""Which layers each engine holds.
+"""Planner of the layers that each engine holds.
 
 Engines of one failure domain form a pool, since a prompt's activations are
-too large to cross between domains for every request.  The same fill of every
-card gives each held layer the same memory for prompts, and the planner gives
-an engine without layers the window of its size where the fewest others stand.
-Engines that hold a window keep it; only where a layer has no holder left are
-others moved, or their ranges lengthened.
+too large to be sent between domains for every request.  Using the same share
+of each card for weights gives each held layer the same memory for prompts.
+An engine without layers is assigned the window of its size that most needs
+another holder.  Engines that hold a window keep it; only where a layer has no
+holder left are others moved or their ranges extended.
 """
 
 __all__ = ['Change', 'plan', 'missing', 'pools']
 
-from ibisring_policy.gateway import repairs
+from ibisring_policy.gateway import poolplan
 from ibisring_policy.gateway import windows
 from ibisring_records import routing
 import msgspec
 
-# Share of a card's memory for weights.  At 0.65 the pools of mixed cards
-# that the planner was tried on hold 1.2 to 1.5 copies of the model, and two
-# and a half times the prompts of a mean load fit into the rest.
-FILL = 0.68
-# A pool must hold this many copies, or it is merged with the others.
-LEAST_COPIES = 1.05
-# Share of memory for weights that a small pool may go up to.
-MOST_FILL = 0.88
+# Share of a card's memory used for weights.  At 0.65, pools of mixed cards
+# hold 1.2 to 1.5 copies of the model, and the rest has room for 2.5 times the
+# prompts of the mean load.
+WEIGHT_SHARE = 0.68
+# If a pool can't hold this many copies of the model, all pools are merged.
+MIN_COPIES = 1.05
+# Upper bound of the share used for weights, for small pools.
+MAX_WEIGHT_SHARE = 0.88
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A new range for an engine."""
+    """A new range of layers for an engine."""
 
     id: str
     holding: routing.Holding
 
 
 def missing(engines, layers):
-    """Give, for each failure domain, the layers that no engine there holds.
+    """Return the layers that no engine of a failure domain holds.
 
     Returns
     -------
     dict of str to list of Holding
-        Only domains that lack some.
+        By failure domain; only domains that lack some layers.
     """
     by_domain = {}
     for engine in engines:
@@ -58,36 +58,40 @@
     -------
     list of list of windows.Engine
         One group for each failure domain, or a single one if some domain
-        is too small to hold the model beside any prompts.
+        is too small to hold the model with room for prompts.
     """
     by_domain = {}
     for engine in engines:
         by_domain.setdefault(engine.domain, []).append(engine)
-    need = model.layers * LEAST_COPIES
+    needed_layers = model.layers * MIN_COPIES
     for group in by_domain.values():
-        fits = sum(e.max_layers(model.layer_mb, MOST_FILL) for e in group)
-        if fits < need:
-            return [sorted(engines, key=_name)]
-    return [sorted(by_domain[name], key=_name) for name in sorted(by_domain)]
+        available_layers = sum(
+            e.max_layers(model.layer_mb, MAX_WEIGHT_SHARE) for e in group
+        )
+        if available_layers < needed_layers:
+            return [sorted(engines, key=_engine_id)]
+    return [
+        sorted(by_domain[name], key=_engine_id) for name in sorted(by_domain)
+    ]
 
 
-def _name(engine):
+def _engine_id(engine):
     return engine.id
 
 
 def plan(engines, model):
-    """Give the changes that bring all engines to good ranges.
+    """Return the changes of ranges that the engines need.
 
     Parameters
     ----------
     engines : list of windows.Engine
-        Those that stay: no draining or lost one.
+        Engines that stay, without those that are draining or lost.
     model : routing.Model
 
     Returns
     -------
     list of Change
-        None that holds more than a card's memory.
+        No range exceeds the memory of its engine.
     """
     changes = []
     for group in pools(engines, model):
@@ -95,18 +99,18 @@
     return changes
 
 
-def _fill(group, model):
-    """Give the share of memory for weights in a pool."""
+def _weight_share(group, model):
+    """Return the share of memory to use for weights in a pool."""
     memory = sum(engine.memory_mb for engine in group)
     if not memory:
-        return FILL
-    needed = LEAST_COPIES * model.layers * model.layer_mb / memory
-    return min(MOST_FILL, max(FILL, needed))
+        return WEIGHT_SHARE
+    needed = MIN_COPIES * model.layers * model.layer_mb / memory
+    return min(MAX_WEIGHT_SHARE, max(WEIGHT_SHARE, needed))
 
 
 def _plan_pool(group, model):
-    pool = repairs.make_pool(group, model, _fill(group, model))
-    pool.place_empty()
+    pool = poolplan.make_pool_plan(group, model, _weight_share(group, model))
+    pool.assign_empty()
     pool.close_gaps()
     pool.extend_one()
     return [Change(name, held) for name, held in pool.changes.items()]
--- a/packages/policy/ibisring_policy/gateway/shortage.py
+++ b/packages/policy/ibisring_policy/gateway/shortage.py
@@ -1,8 +1,8 @@
-"""Why no chain has room for a request.
+"""Explains why no chain has room for a request.
 
-A refusal that only says that nothing has room can't be acted on: an engine
-that is full, one that is believed lost and layers that nobody holds ask for
-different remedies.  This names the layers that stop a chain and why.
+A refusal that only reports a lack of room gives operators nothing to act on:
+full engines, dead engines and layers without a holder need different
+remedies.  This module finds the layers that prevent a chain, and the reasons.
 """
 
 __all__ = ['Shortage', 'ExcludedRange', 'find', 'describe']
@@ -14,12 +14,12 @@
 MISSING = 'missing'
 NO_MEMORY = 'no_memory'
 NO_SLOT = 'no_slot'
-# Runs of layers named in one log line.
-MOST_RUNS = 4
+# Layer ranges in one log line.
+MAX_RANGES = 4
 
 
 class ExcludedRange(msgspec.Struct, frozen=True):
-    """A range held by an engine that takes no requests, and why."""
+    """A range held by an engine that takes no requests, and the reason."""
 
     first: int
     end: int
@@ -27,30 +27,30 @@
 
 
 class Shortage(msgspec.Struct, frozen=True):
-    """Layers that no engine can run now, with the reasons counted."""
+    """Layers that no engine can run now, with the count of each reason."""
 
     first: int
     end: int
     reasons: tuple
 
 
-def find(holders, left_out, demand, full):
-    """Give the runs of layers that no engine can run for a request.
+def find(holders, excluded, demand, full_share):
+    """Return the ranges of layers that no engine can run for a request.
 
     Parameters
     ----------
     holders : list of chains.Holder
-    left_out : list of ExcludedRange
-        Ranges held by engines that are believed lost, failing or full.
+    excluded : list of ExcludedRange
+        Ranges held by engines that are dead, failing or refusing.
     demand : chains.Demand
-    full : float
-        Share of an engine's memory from which it counts as full.
+    full_share : float
+        Share of an engine's memory at which it counts as full.
 
     Returns
     -------
     list of Shortage
-        Empty if each layer has an engine with room; then no chain fits
-        together, as engines have room for a part of their range only.
+        Empty if each layer has an engine with room; if there is no chain
+        then, engines have room for only a part of their ranges.
 
     Examples
     --------
@@ -61,7 +61,7 @@
     """
     found = []
     for layer in range(demand.first, demand.end):
-        reasons = _reasons(layer, holders, left_out, demand, full)
+        reasons = _reasons(layer, holders, excluded, demand, full_share)
         if reasons is None:
             continue
         last = found[-1] if found else None
@@ -72,19 +72,19 @@
     return found
 
 
-def _reasons(layer, holders, left_out, demand, full):
-    """Give why nobody runs a layer, or None if somebody can."""
+def _reasons(layer, holders, excluded, demand, full_share):
+    """Return why no engine can run a layer, or None if one can."""
     counts = collections.Counter()
     for holder in holders:
         if not holder.first <= layer < holder.end:
             continue
         if layer == 0 and holder.slot_use >= 1.0:
             counts[NO_SLOT] += 1
-        elif holder.used + demand.tokens > holder.capacity * full:
+        elif holder.used + demand.tokens > holder.capacity * full_share:
             counts[NO_MEMORY] += 1
         else:
             return None
-    for each in left_out:
+    for each in excluded:
         if each.first <= layer < each.end:
             counts[each.reason] += 1
     if not counts:
@@ -93,12 +93,12 @@
 
 
 def describe(shortages):
-    """Write shortages for a log line."""
-    rows = []
-    for each in shortages[:MOST_RUNS]:
+    """Format shortages for a log line."""
+    texts = []
+    for each in shortages[:MAX_RANGES]:
         reasons = ' '.join(
             name if name == MISSING else f'{name}={count}'
             for name, count in each.reasons
         )
-        rows.append(f'{each.first}-{each.end} {reasons}')
-    return rows
+        texts.append(f'{each.first}-{each.end} {reasons}')
+    return texts
--- a/packages/policy/ibisring_policy/gateway/tests/builders.py
+++ b/packages/policy/ibisring_policy/gateway/tests/builders.py
@@ -22,7 +22,7 @@
 
 
 def model(**changes):
-    """Give a model of 80 layers of 1,750 MB."""
+    """Make a model of 80 layers of 1,750 MB."""
     values = dict(
         layers=LAYERS,
         layer_mb=LAYER_MB,
@@ -42,12 +42,12 @@
 
 
 def holding(first, end):
-    """Give a range of layers."""
+    """Make a range of layers."""
     return routing.Holding(first, end)
 
 
 def engine(name, domain='a', card='mid', held=None, loaded=True):
-    """Give an engine for the planner; `held` is a pair or None."""
+    """Make an engine for the planner; `held` is a pair or None."""
     kind = next(c for c in CARDS if c.name == card)
     held = routing.Holding(*held) if held else None
     return windows.Engine(
@@ -61,7 +61,7 @@
 
 
 def mixed_engines(times=1, kinds=None):
-    """Give empty engines of mixed cards in three failure domains."""
+    """Make engines without layers, of mixed cards, in three domains."""
     found = []
     for domain, cards in (kinds or MIXED).items():
         for card, count in cards.items():
@@ -71,7 +71,7 @@
 
 
 def planned(engines, of=None):
-    """Give the engines as they are after a plan was carried out."""
+    """Return the engines as they are after a plan was executed."""
     found = {c.id: c.holding for c in layers.plan(engines, of or model())}
     return [
         windows.Engine(
@@ -89,7 +89,7 @@
 def holder(
     name, first, end, domain='a', capacity=1e6, used=0.0, step_factor=15.0
 ):
-    """Give a holder for a chain."""
+    """Make a holder for a chain."""
     return chains.Holder(
         name,
         f'{name}:1',
@@ -103,12 +103,12 @@
 
 
 def demand(tokens=1000.0, domain='a', first=0, end=LAYERS, may_cross=True):
-    """Give what a chain must carry."""
+    """Make the requirements of a request."""
     return chains.Demand(tokens, domain, first, end, may_cross)
 
 
 def endpoint(name='e1', service='lookup', domain='a', **changes):
-    """Give an endpoint of a plain service."""
+    """Make an endpoint of a plain service."""
     values = dict(
         id=name,
         service=service,
@@ -121,7 +121,7 @@
 
 
 def held_endpoint(name, first, end, domain='a', card='mid', **changes):
-    """Give an engine with layers."""
+    """Make an endpoint that is an engine with layers."""
     return endpoint(
         name,
         'model',
@@ -133,7 +133,7 @@
 
 
 def route(**changes):
-    """Give an idempotent route to the service `lookup`."""
+    """Make an idempotent route to the service `lookup`."""
     values = dict(
         name='r1',
         host='h.example',
@@ -149,7 +149,7 @@
 
 
 def table(version=1, routes=None, accounts=None):
-    """Give a routing table with a plain service and a model's."""
+    """Make a routing table with a plain service and a model service."""
     return routing.RoutingTable(
         version=version,
         routes=tuple(routes or (route(),)),
@@ -162,5 +162,5 @@
 
 
 def exactly(number=1.0):
-    """Give a noise function that adds none."""
+    """Return a noise function that always returns the same number."""
     return lambda: number
--- a/packages/policy/ibisring_policy/gateway/tests/test_layers.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_layers.py
@@ -30,12 +30,12 @@
     assert _fits(engines)
 
 
-def test_a_good_layout_is_left_alone():
+def test_a_complete_layout_is_not_changed():
     engines = build.planned(build.mixed_engines())
     assert layers.plan(engines, build.model()) == []
 
 
-def test_every_card_keeps_room_for_prompts():
+def test_every_card_keeps_memory_for_prompts():
     for engine in build.planned(build.mixed_engines()):
         free = engine.memory_mb - engine.holding.count * build.LAYER_MB
         assert free >= 0.1 * engine.memory_mb
@@ -44,11 +44,10 @@
 @pytest.mark.parametrize(
     'name', [e.id for e in build.mixed_engines() if 'small' in e.id]
 )
-def test_the_loss_of_a_small_engine_is_made_good(name):
-    """Symptom: a failure domain serves nothing after one engine is gone.
+def test_the_layers_of_a_lost_small_engine_are_reassigned(name):
+    """Failure: a failure domain serves nothing after it has lost an engine.
 
-    Sequence: all engines hold their ranges; one is lost for good.
-    Cause: its layers had no other holder there and nobody took them over.
+    The engine was the only holder of its layers there.
     """
     engines = build.planned(build.mixed_engines())
     lost = next(e for e in engines if e.id == name)
@@ -57,8 +56,8 @@
     assert _fits(left)
 
 
-def _loaded(changes, before):
-    """Count the layers that engines have to load."""
+def _layers_to_load(changes, before):
+    """Return the number of layers that engines have to load."""
     total = 0
     for change in changes:
         held = before[change.id]
@@ -73,11 +72,11 @@
     for lost in engines:
         left = [e for e in engines if e is not lost]
         changes = layers.plan(left, build.model())
-        # One window more than was lost, where windows don't end alike.
-        assert _loaded(changes, before) <= lost.holding.count + 8
+        # One window more than was lost if the boundaries of windows differ.
+        assert _layers_to_load(changes, before) <= lost.holding.count + 8
 
 
-def test_an_engine_that_comes_takes_the_least_held_window():
+def test_a_new_engine_takes_the_window_with_the_fewest_holders():
     engines = [
         build.engine('x', held=(0, 8)),
         build.engine('y', held=(8, 16)),
@@ -90,12 +89,11 @@
     ]
 
 
-def test_a_spare_stays_until_others_have_its_layers_in_place():
-    """Symptom: a domain that lacked one range lacks two.
+def test_a_redundant_engine_stays_until_others_have_loaded_its_layers():
+    """Failure: a domain that lacks one range comes to lack two.
 
-    Sequence: `new` is ordered to hold 8 to 16 and still loads; the holder of
-    0 to 8 is lost; `y` looks replaceable and is ordered to 0 to 8.
-    Cause: ranges that were ordered counted as held.
+    `new` is still loading 8 to 16 when the holder of 0 to 8 is lost.  If the
+    ordered range counts as held, `y` seems redundant and is moved to 0 to 8.
     """
     model = build.model(layers=16)
     loading = build.engine('new', held=(8, 16), loaded=False)
@@ -109,7 +107,7 @@
     ]
 
 
-def test_neighbours_close_a_narrow_gap_by_growing():
+def test_neighbours_are_extended_over_a_narrow_gap():
     engines = [
         build.engine('x', held=(0, 8)),
         build.engine('y', held=(11, 19)),
@@ -121,20 +119,20 @@
     }
 
 
-def test_domains_too_small_for_the_model_are_one_pool():
+def test_domains_too_small_for_the_model_are_merged():
     engines = [build.engine(f'{d}{n}', d) for d in 'ab' for n in range(5)]
-    placed = build.planned(engines)
-    assert min(windows.coverage(placed, build.LAYERS)) >= 1
+    planned = build.planned(engines)
+    assert min(windows.coverage(planned, build.LAYERS)) >= 1
     assert len(layers.pools(engines, build.model())) == 1
 
 
-def test_too_few_engines_hold_what_they_can():
-    placed = build.planned([build.engine('only')])
-    assert placed[0].holding.count >= 1
-    assert _fits(placed)
+def test_too_few_engines_hold_a_part_of_the_model():
+    planned = build.planned([build.engine('only')])
+    assert planned[0].holding.count >= 1
+    assert _fits(planned)
 
 
-def test_missing_names_the_ranges_that_a_domain_lacks():
+def test_missing_returns_the_ranges_that_a_domain_lacks():
     engines = [build.engine('x', 'a', held=(0, 8))]
     assert layers.missing(engines, 16) == {'a': [build.holding(8, 16)]}
 
@@ -145,18 +143,18 @@
     return engines
 
 
-def _whole_domains(engines):
+def _complete_domains(engines):
     return [d for d in 'abc' if min(_counts(engines, d)) >= 1]
 
 
 @pytest.mark.parametrize('seed', range(8))
 def test_a_release_leaves_no_domain_without_a_layer(seed):
-    """Symptom: two of three domains serve nothing for ten seconds.
+    """Failure: two of three domains serve nothing for ten seconds.
 
-    Sequence: engines are replaced one after the other; each new one is given
-    some window, then an old one leaves; no engine is all doubled by then.
-    Cause: only such an engine was moved, and neighbours grew over a gap only
-    if they could close it whole.
+    Engines are replaced one after the other: each new one is assigned a
+    window, then an old one leaves, and no engine is fully redundant.  Gaps
+    stay open if only redundant engines are moved and neighbours are extended
+    only when they can close a gap completely.
     """
     rng = random.Random(seed)
     engines = build.planned(build.mixed_engines())
@@ -166,15 +164,14 @@
         engines = _after([*engines, new])
         engines = _after([e for e in engines if e.id != old.id])
         assert _fits(engines)
-        assert _whole_domains(engines) == ['a', 'b', 'c']
+        assert _complete_domains(engines) == ['a', 'b', 'c']
 
 
-def test_a_single_layer_is_not_left_out_for_want_of_room():
-    """Symptom: a domain serves nothing for ten seconds over one layer.
+def test_the_reserve_for_prompts_is_reduced_if_a_layer_is_missing():
+    """Failure: a domain serves nothing for ten seconds for lack of one layer.
 
-    Sequence: both neighbours of a gap grew as far as the memory kept for
-    prompts allowed; one layer was left; no engine could be freed for it.
-    Cause: the memory kept was the same whether or not anything else helped.
+    Both neighbours of a gap are extended as far as the memory reserved for
+    prompts allows; one layer is left, and no engine can be released for it.
     """
     model = build.model(layers=20)
     engines = [
@@ -182,13 +179,13 @@
         build.engine('y', card='small', held=(11, 18)),
         build.engine('z', card='small', held=(18, 20)),
     ]
-    placed = build.planned(engines, model)
-    assert min(windows.coverage(placed, 20)) >= 1
-    assert _fits(placed)
+    planned = build.planned(engines, model)
+    assert min(windows.coverage(planned, 20)) >= 1
+    assert _fits(planned)
 
 
-def _fastest_pace(engines, domain):
-    """Sum the lowest pace over the layers of a domain."""
+def _total_step_factor(engines, domain):
+    """Return the sum of the lowest step factor of each layer in a domain."""
     total = 0.0
     for layer in range(build.LAYERS):
         total += min(
@@ -200,10 +197,10 @@
 
 
 def test_slow_cards_serve_only_where_fast_ones_do_not_suffice():
-    """Load: streams over four fast cards of 14 GB beside four slow of 22 GB.
+    """Failure: slow cards serve while fast cards are only second holders.
 
-    Placed by size, the slow ones took the layers first and the fast ones
-    doubled what was left: 59.8 ms an event in place of 37.2.
+    With four fast cards of 14 GB and four slow ones of 22 GB, assigning
+    windows by card size took 59.8 ms per event instead of 37.2.
     """
     cards = {'big': 2, 'quick': 4, 'mid': 4}
     kinds = {'big': (72000.0, 2.4), 'quick': (14400.0, 5.3)}
@@ -215,17 +212,18 @@
         for card, count in cards.items()
         for n in range(count)
     ]
-    placed = build.planned(engines)
-    # 52 x 2.4 on two big ones, 20 x 5.3 on four quick ones, 8 x 16 on slow.
-    assert round(_fastest_pace(placed, 'a')) <= 359
+    planned = build.planned(engines)
+    # 52 x 2.4 on two big cards, 20 x 5.3 on four quick ones, 8 x 16 on mid.
+    assert round(_total_step_factor(planned, 'a')) <= 359
 
 
-def test_second_holders_stand_where_memory_is_tightest():
-    """Load: the prompts of a whole site in two of its three domains.
+def test_second_holders_are_placed_where_memory_is_scarcest():
+    """Failure: requests are refused where second holders add no memory.
 
-    Second holders that stood by for the largest range instead, so that its
-    loss left little to load, were worth 0.027 less: the small ranges of fast
-    cards were full first, and what was lost was mostly one of these.
+    With the prompts of a whole site in two of its three domains, placing
+    second holders at the largest range, so that its loss leaves little to
+    load, scored 0.027 less: the small ranges of fast cards filled up first,
+    and most losses were of one of these.
     """
     model = build.model()
     kinds = {'big': (72000.0, 2.4), 'quick': (14400.0, 5.3)}
@@ -237,19 +235,19 @@
         for card, count in (('big', 1), ('quick', 10), ('mid', 4))
         for n in range(count)
     ]
-    placed = build.planned(engines, model)
-    held = {engine.id: engine.holding for engine in placed}
-    counts = windows.coverage(placed, model.layers)
+    planned = build.planned(engines, model)
+    held = {engine.id: engine.holding for engine in planned}
+    counts = windows.coverage(planned, model.layers)
 
-    def is_doubled(name):
+    def is_redundant(name):
         span = held[name]
         return min(counts[span.first : span.end]) >= 2
 
-    assert sum(is_doubled(f'quick{n}') for n in range(10)) >= 4
-    assert not is_doubled('big0')
+    assert sum(is_redundant(f'quick{n}') for n in range(10)) >= 4
+    assert not is_redundant('big0')
 
 
-def test_a_fast_engine_that_comes_back_takes_over_from_slow_ones():
+def test_a_new_fast_engine_takes_over_from_slow_ones():
     engines = [
         build.engine('s0', held=(0, 8)),
         build.engine('s1', held=(8, 16)),
@@ -260,12 +258,11 @@
     assert change.id == 'new' and change.holding.count >= 12
 
 
-def test_an_empty_engine_loads_what_is_missing_before_the_rest():
-    """Symptom: a domain lacks three layers for five seconds.
+def test_an_empty_engine_loads_missing_layers_first():
+    """Failure: a domain lacks three layers for five seconds.
 
-    Sequence: they are lost; a large engine has just come and is ordered to
-    hold 26 layers, those three among them.
-    Cause: its layers are in place only when all of them are loaded.
+    A large engine that has just registered is ordered to hold 26 layers,
+    including the missing ones; none is usable until all of them are loaded.
     """
     model = build.model(layers=40)
     engines = [
@@ -283,7 +280,7 @@
     assert change.holding.count >= 25
 
 
-def test_ranges_are_not_lengthened_while_something_loads():
+def test_ranges_are_not_extended_while_an_engine_is_loading():
     model = build.model(layers=16)
     short = build.engine('short', held=(0, 4))
     loading = build.engine('loading', held=(0, 8), loaded=False)
@@ -294,28 +291,26 @@
 
 
 def test_an_idle_engine_is_moved_rather_than_a_busy_one():
-    """Symptom: a failure domain lacks six layers for nine seconds.
+    """Failure: a failure domain lacks six layers for nine seconds.
 
-    Sequence: an engine is lost; a spare through which streams pass is
-    ordered to its layers; it loads them when the last stream has ended.
-    Cause: which spare was taken did not go by the requests in it.
+    An engine is lost, and a redundant engine with active streams is ordered
+    to load its layers, which it does only after the last stream has ended.
     """
-    spares = [
+    redundant = [
         windows.Engine('busy', 'a', 21600.0, *[build.holding(0, 8)] * 2),
         windows.Engine('idle', 'a', 21600.0, *[build.holding(0, 8)] * 2),
     ]
-    spares[0] = msgspec.structs.replace(spares[0], memory_use=0.3)
-    (change,) = layers.plan(spares, build.model(layers=14))
+    redundant[0] = msgspec.structs.replace(redundant[0], memory_use=0.3)
+    (change,) = layers.plan(redundant, build.model(layers=14))
     assert change.id == 'idle'
 
 
 def test_a_fast_engine_is_not_moved_off_a_large_range():
-    """Symptom: a domain lacks layers for twenty seconds after one loss.
+    """Failure: a domain lacks layers for twenty seconds after one loss.
 
-    Sequence: an engine with six layers is lost; the only large fast one
-    of its domain, idle just then and its 28 layers all doubled by slow
-    ones, is ordered to those six; the slow ones can't be moved any more.
-    Cause: the idlest spare was taken, whatever it gave up.
+    An engine with six layers is lost, and the only large fast engine of the
+    domain, idle and with its 28 layers also held by slow ones, is moved to
+    these six; the slow ones are then no longer redundant.
     """
     slow = [build.engine(f's{n}', held=(n * 8, n * 8 + 8)) for n in range(3)]
     slow = [msgspec.structs.replace(each, memory_use=0.2) for each in slow]
@@ -325,11 +320,11 @@
     assert moved and moved <= {each.id for each in slow}
 
 
-def test_only_what_is_missing_is_loaded():
-    """Symptom: five missing layers stay away while eight are loaded.
+def test_a_redundant_engine_loads_only_the_missing_layers():
+    """Failure: five layers are missing for as long as eight take to load.
 
-    Sequence: an engine with five layers is lost; a spare takes them.
-    Cause: it was given a range as long as its memory allows.
+    An engine with five layers is lost, and the redundant engine that replaces
+    it is assigned as many layers as fit into its memory.
     """
     engines = [
         build.engine('x', held=(0, 8)),
--- a/packages/policy/ibisring_policy/gateway/windows.py
+++ b/packages/policy/ibisring_policy/gateway/windows.py
@@ -1,9 +1,10 @@
-"""Which window of layers an engine should hold, and what is missing.
+"""Choice of the window of layers that an engine should hold, and gaps.
 
-A window is judged by who holds its layers already: see `best_window`.
+Windows are ranked by the engines that hold their layers already, see
+`best_window`.
 """
 
-__all__ = ['Engine', 'Layer', 'best_window', 'coverage', 'gaps']
+__all__ = ['Engine', 'LayerHolders', 'best_window', 'coverage', 'gaps']
 
 from ibisring_records import routing
 import msgspec
@@ -12,11 +13,11 @@
 class Engine(msgspec.Struct, frozen=True):
     """An engine as the planner sees it.
 
-    `holding` is what it holds, or was ordered to hold; `loaded` is what of it
-    is in place now.  `may_replace` is set for one that has just come: it may
-    take the place of one that is about to leave, see `place_empty`.
-    `step_factor` is its time for a layer over that of the fastest kind of
-    card; `memory_use` the share of its memory for prompts that requests hold.
+    `holding` is the range that it holds or was ordered to hold, `loaded` the
+    range that is loaded now.  `may_replace` is set for a newly registered
+    engine: it may replace one that is about to leave, see `assign_empty`.
+    `step_factor` is its time per layer relative to the fastest kind of card;
+    `memory_use` is the share of its memory for prompts that is in use.
     """
 
     id: str
@@ -30,11 +31,11 @@
 
     @property
     def is_loading(self):
-        """Whether an order is under way; it refuses others until its end."""
+        """Whether it executes an order; until the end it refuses others."""
         return self.holding != self.loaded
 
     def max_layers(self, layer_mb, share=1.0):
-        """Give how many layers fit into a share of the memory."""
+        """Return the number of layers that fit into a share of its memory."""
         return int(self.memory_mb * share / layer_mb)
 
 
@@ -55,67 +56,70 @@
     return counts
 
 
-class Layer:
-    """Who holds a layer in a pool.
+class LayerHolders:
+    """The engines of a pool that hold a layer.
 
     Attributes
     ----------
     holders : dict of str to Engine
+    range_sizes : dict of str to int
+        Number of layers that each holder holds.
     """
 
-    __slots__ = ('holders', 'ranges')
+    __slots__ = ('holders', 'range_sizes')
 
     def __init__(self):
         self.holders = {}
-        self.ranges = {}
+        self.range_sizes = {}
 
     def add(self, engine, holding):
-        """Count an engine that holds this layer among others."""
+        """Add an engine that holds a range with this layer."""
         self.holders[engine.id] = engine
-        self.ranges[engine.id] = holding.count
+        self.range_sizes[engine.id] = holding.count
 
     def remove(self, engine):
-        """Take an engine out."""
+        """Remove an engine."""
         del self.holders[engine.id]
-        del self.ranges[engine.id]
+        del self.range_sizes[engine.id]
 
-    def gain(self, pace):
-        """Give how much faster this layer runs with an engine of a pace."""
+    def gain(self, step_factor):
+        """Return the reduction of the lowest step factor by an engine."""
         if not self.holders:
             return 0.0
         return max(
-            0.0, min(e.step_factor for e in self.holders.values()) - pace
+            0.0,
+            min(e.step_factor for e in self.holders.values()) - step_factor,
         )
 
     def loss(self, engine):
-        """Give how much slower this layer runs without one of its holders."""
+        """Return the increase of the lowest step factor without a holder."""
         others = [
             e.step_factor for e in self.holders.values() if e is not engine
         ]
         return max(0.0, min(others) - engine.step_factor) if others else 0.0
 
-    def tightness(self, model):
-        """Give the want of memory for prompts, from 0 up to 1."""
+    def scarcity(self, model):
+        """Return the scarcity of memory for prompts, from 0 up to 1."""
         total = 0.0
         for name, engine in self.holders.items():
-            free = engine.memory_mb - self.ranges[name] * model.layer_mb
-            total += max(free, 1.0) / self.ranges[name]
+            free = engine.memory_mb - self.range_sizes[name] * model.layer_mb
+            total += max(free, 1.0) / self.range_sizes[name]
         return 1.0 / (1.0 + total)
 
 
-def best_window(held, size, engine, model, around=None):
-    """Give the window that most needs an engine.
+def best_window(layer_holders, size, engine, model, around=None):
+    """Return the window that most needs an engine.
 
-    Layers with no holder come first.  Then those that it runs faster than
-    all who hold them: the engines of a fast chain serve, slower ones stand
-    by.  Then the least memory for prompts: a domain has room for as many
-    requests as its tightest layer, and what has a second holder there takes
-    over without a load when the first is lost.  Of equal windows the first,
-    so that ranges lie side by side.
+    Layers without a holder have priority, then layers that the engine runs
+    faster than all their holders: a chain of fast engines serves, slower
+    ones are standbys.  Then the least memory for prompts decides: a domain
+    has room for as many requests as the layer with the least memory, and a
+    second holder there takes over without loading if the first is lost.  Of
+    equal windows the first is taken, so that ranges are adjacent.
 
     Parameters
     ----------
-    held : list of Layer
+    layer_holders : list of LayerHolders
     size : int
     engine : Engine
     model : routing.Model
@@ -125,20 +129,22 @@
     first, last = 0, model.layers - size
     if around is not None:
         first, last = max(0, around.end - size), min(last, around.first)
-    gains = [layer.gain(engine.step_factor) for layer in held]
-    wants = [layer.tightness(model) for layer in held]
-    empties = [not layer.holders for layer in held]
+    gains = [layer.gain(engine.step_factor) for layer in layer_holders]
+    scarcities = [layer.scarcity(model) for layer in layer_holders]
+    is_empty = [not layer.holders for layer in layer_holders]
     best = None
     for first in range(first, last + 1):
         span = slice(first, first + size)
-        # A window that starts inside a gap leaves a splinter before it,
-        # which would cost a whole engine later.
-        splinter = bool(first and empties[first - 1] and empties[first])
+        # A window that starts inside a gap leaves a fragment before it,
+        # which would need a whole engine later.
+        leaves_fragment = bool(
+            first and is_empty[first - 1] and is_empty[first]
+        )
         rank = (
-            -sum(empties[span]),
-            splinter,
+            -sum(is_empty[span]),
+            leaves_fragment,
             -round(sum(gains[span]), 3),
-            -round(sum(wants[span]), 6),
+            -round(sum(scarcities[span]), 6),
             first,
         )
         if best is None or rank < best:
@@ -147,7 +153,7 @@
 
 
 def gaps(counts):
-    """Give the runs of layers that have no holder."""
+    """Return the ranges of layers without a holder."""
     found = []
     start = None
     for layer, count in enumerate([*counts, 1]):
