--- a/packages/policy/ibisring_policy/gateway/estimates.py
+++ b/packages/policy/ibisring_policy/gateway/estimates.py
@@ -58,12 +58,12 @@
 
 
 class Estimate(msgspec.Struct):
-    """Estimated load and health of an endpoint; times are monotonic.
+    """Estimated load and health of an endpoint; times are monotonic seconds.
 
     `active`, `tokens` and `first_stage_requests` count this router's own
     requests; `tokens` are multiplied by the layers that the engine runs.
     `started` is the start time of the endpoint's present process.  Fields
-    `*_from_peer` tell that another router reported the state.
+    `*_from_peer` are set if another router reported the state.
     """
 
     active: int = 0
@@ -175,7 +175,7 @@
     def note_unreachable(self, name, now, from_peer=False):
         """Note that an endpoint could not be reached, or did not respond.
 
-        `from_peer` tells that another router reported it.
+        `from_peer` is set if another router reported it.
 
         An engine gets no requests until it has responded again: one that
         has gone for good may keep its entry for seconds, and each request
--- a/packages/policy/ibisring_policy/gateway/layerorders.py
+++ b/packages/policy/ibisring_policy/gateway/layerorders.py
@@ -147,7 +147,7 @@
     def may_act(self, wanted, now):
         """Return whether to order now, or to try to take the lease for it.
 
-        `wanted` tells whether there is anything to order.
+        `wanted` is set while there is anything to order.
         """
         if not wanted:
             self.wanted_since = None
--- a/packages/policy/ibisring_policy/gateway/tests/test_estimates.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_estimates.py
@@ -232,7 +232,10 @@
 
 
 def test_a_refusal_reported_by_a_peer_is_not_forwarded():
-    """Failure: routers keep an engine excluded by repeating each other."""
+    """Failure: routers keep an engine excluded by repeating each other.
+
+    An engine that is short of memory is not reported at all.
+    """
     first, second = (
         estimates.make_estimate_table(),
         estimates.make_estimate_table(),
--- a/packages/policy/ibisring_policy/gateway/tests/test_first_stages.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_first_stages.py
@@ -34,14 +34,14 @@
             for name, card, held in _engines()
         ]
         self.running = dict.fromkeys(FIRST_STAGES, 0)
-        self.ends = []
+        self.active = []
         self.queued = 0
         self.refused = 0
 
     def request(self, number, now):
         """Send a request from a router, according to its own estimates."""
-        while self.ends and self.ends[0][0] <= now:
-            _, name, sender, stages = heapq.heappop(self.ends)
+        while self.active and self.active[0][0] <= now:
+            _, name, sender, stages = heapq.heappop(self.active)
             self.running[name] -= 1
             self.tables[sender].release(stages, TOKENS)
         table = self.tables[number]
@@ -58,7 +58,7 @@
         self.queued += self.running[name] > SLOTS
         table.note_load(name, self.running[name], now)
         end = now + REQUEST_SECONDS * self.rng.uniform(0.5, 1.5)
-        heapq.heappush(self.ends, (end, name, number, stages))
+        heapq.heappush(self.active, (end, name, number, stages))
 
     def _noise(self):
         return self.rng.uniform(0.9, 1.1)
