--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -37,7 +37,7 @@
     ----------
     view : view.View
     codec : ports.Codec
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     watcher : watching.Watcher
     window : attempts.RetryBudget
     count_routers : callable
@@ -130,7 +130,9 @@
             why=error.detail,
             retry_after=error.retry_after,
             table=snapshot.version,
-            table_age_ms=round((self.clock() - snapshot.table_at) * SECOND_MS),
+            table_age_ms=round(
+                (self.clock() - snapshot.table_read_at) * SECOND_MS
+            ),
             **error.facts,
         )
 
@@ -191,7 +193,8 @@
             chain=job.chain,
             table=self.view.snapshot.version,
             endpoints_age_ms=round(
-                (self.clock() - self.view.snapshot.endpoints_at) * SECOND_MS
+                (self.clock() - self.view.snapshot.endpoints_read_at)
+                * SECOND_MS
             ),
         )
 
@@ -258,7 +261,7 @@
                 'endpoints have ended under this request',
                 self.screen.retry_after(job),
                 digest=job.digest.hex(),
-                ends=self.screen.verdict(job).ends,
+                ends=self.screen.verdict(job).crashes,
             )
         retry_after = max(
             self.selector.retry_after(job.service),
@@ -308,7 +311,7 @@
             job.request.id, choice.endpoint, choice.stages, job.deadline
         )
         attempt.tokens = choice.tokens
-        attempt.may_leave = self._may_leave(job, choice.endpoint)
+        attempt.may_change_endpoint = self._may_leave(job, choice.endpoint)
         job.chain = _chain_text(choice.stages)
         self.selector.reserve(attempt)
         self.screen.begin(job, attempt)
--- a/packages/gateway/ibisring_gateway/placing.py
+++ b/packages/gateway/ibisring_gateway/placing.py
@@ -49,7 +49,7 @@
     store_touches : callable
         Gives what other routers told lately of the store, by name.
     tell : callable
-        Takes `directory.Learnt` messages.
+        Takes `directory.HoldingReport` messages.
     on_trouble : callable
         Called when the store does not answer.
     """
@@ -102,7 +102,7 @@
         self._tell_missing(service, staying)
         if self.view.store_lost_at is not None:
             self._learn(staying)
-        if now - snapshot.known_since < presence.RETURN_GRACE:
+        if now - snapshot.known_since < presence.REREGISTER_SECONDS:
             # Entries that lapsed in an outage come back within two seconds.
             # A router that has just started can't tell them from engines
             # that are gone, and would move all that it sees.
@@ -121,7 +121,7 @@
         # On a site that starts nothing is about to be replaced.
         is_whole = any(e.holding is not None for e in staying)
         with self.view.lock:
-            holders = self.view.book.holders(staying, model, now)
+            holders = self.view.estimates.holders(staying, model, now)
         loads = {h.id: h.used / h.capacity for h in holders if h.capacity > 0}
         found = []
         for each in staying:
@@ -154,13 +154,15 @@
         ):
             if status is None:
                 continue
-            self.view.learnt[endpoint.id] = (
+            self.view.reported_holdings[endpoint.id] = (
                 self.view.clock(),
                 status.started,
                 status.holding,
             )
             self.tell_directory(
-                directory.Learnt(endpoint.id, status.started, status.holding)
+                directory.HoldingReport(
+                    endpoint.id, status.started, status.holding
+                )
             )
 
     def _tell_missing(self, service, staying):
@@ -187,13 +189,13 @@
                 continue
             if self._is_lost(each.id, now) or self._is_too_slow(each, now):
                 continue
-            if self.view.book.is_probably_leaving(each.id, now):
+            if self.view.estimates.is_probably_leaving(each.id, now):
                 continue
             found.append(each)
         return found
 
     def _is_lost(self, name, now):
-        belief = self.view.book.by_endpoint.get(name)
+        belief = self.view.estimates.by_endpoint.get(name)
         if belief is None or not belief.dead:
             return False
         return now - belief.dead_at >= LOST_AFTER
@@ -204,7 +206,7 @@
         A stage that is many times slower falls behind with the prompts of
         its domain, and all streams there pause.
         """
-        return self.view.book.slowdown(endpoint.id, now) >= TOO_SLOW
+        return self.view.estimates.slowdown(endpoint.id, now) >= TOO_SLOW
 
     def _hold_lease(self, now):
         """Take or keep the right to order, by the store's conditional write.
@@ -341,7 +343,7 @@
 
     def _note_unreachable(self, endpoint):
         with self.view.lock:
-            self.view.book.note_unreachable(endpoint.id, time.monotonic())
+            self.view.estimates.note_unreachable(endpoint.id, time.monotonic())
 
 
 def _load_seconds(endpoint, holding, model):
--- a/packages/gateway/ibisring_gateway/tests/test_following.py
+++ b/packages/gateway/ibisring_gateway/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of following a source that fails."""
+"""Tests of following a source whose calls fail."""
 
 import threading
 
@@ -7,16 +7,16 @@
 from ibisring_gateway import ports
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_records import exceptions
 
 
 def _reads():
-    return sharing.Role.READS
+    return storereaders.Role.READS
 
 
 class _Source(ports.Source):
-    """Gives errors in turn, then answers; notes how it was asked."""
+    """Raises errors in turn, then answers; records the calls."""
 
     def __init__(self):
         self.errors = []
@@ -35,7 +35,7 @@
     def changes(self, position, wait):
         return self._ask(wait)
 
-    def end_call(self):
+    def cancel_call(self):
         self.ended += 1
 
 
@@ -54,7 +54,7 @@
 
 
 def test_a_router_that_serves_goes_on_where_it_was():
-    """Everything is read once; what failed is asked for again, in short."""
+    """After a failed call a short poll follows, not another full read."""
     followers, told = _followers()
     table = followers.members['table']
     table.step()
@@ -64,15 +64,14 @@
     assert isinstance(told[1], directory.Failed) and told[1].is_table
     table.step()
     assert not told[-1].whole
-    assert table.source.asked == ['all', polling.CALL_EVERY, 0.0]
+    assert table.source.asked == ['all', polling.CALL_INTERVAL_SECONDS, 0.0]
 
 
 def test_a_failure_ends_the_call_that_may_hang():
-    """Symptom: endpoints are followed again, routes are old for seconds.
+    """Failure: endpoints are current again, but routes stay old for seconds.
 
-    Sequence: the store falls silent; one call ends and the next one is
-    answered; the other was begun in the silence too.
-    Cause: each call was left to its own timeout.
+    The store stops answering during two calls.  One times out and its retry
+    is answered, while the other hangs until its own timeout.
     """
     followers, _ = _followers()
     table, endpoints = followers.members.values()
@@ -88,28 +87,27 @@
     followers, told = _followers()
     table = followers.members['table']
     table.step()
-    table.source.errors = [ports.CallEnded('a new one begins')]
+    table.source.errors = [ports.CallCancelled('a new one begins')]
     table._follow()
     assert len(told) == 1
-    assert not followers.polling.in_trouble('table')
+    assert not followers.polling.is_failing('table')
 
 
 def test_a_dropped_history_is_no_failure():
     followers, told = _followers()
     table = followers.members['table']
     table.step()
-    table.source.errors = [ports.HistoryGone('too old')]
+    table.source.errors = [ports.HistoryExpired('too old')]
     table._follow()
     table._follow()
     assert table.source.asked[-1] == 'all' and len(told) == 2
 
 
 def test_what_decides_may_ask_how_the_router_stands():
-    """Symptom: a router that lost the store once never calls it again.
+    """Failure: deadlock, after which a router never calls the store again.
 
-    Sequence: a call fails; its follower notes that under the lock, and asks
-    for this router's place, which depends on how it stands with the store.
-    Cause: how it stands is read under the same lock.
+    When a call fails, the follower holds the lock while it gets the router's
+    polling slot, which depends on the store status read under the same lock.
     """
     followers, _ = _followers()
 
@@ -128,17 +126,17 @@
 
 
 def test_a_call_from_before_does_not_hang_when_the_readers_lost_the_store():
-    """Symptom: a router knows of the store's return nine seconds late.
+    """Failure: a router notices the store's return nine seconds late.
 
-    Sequence: it leaves reading to others with a call under way; the store
-    falls silent; its readers say so.
-    Cause: only a call that begins was made short.
+    It becomes dependent on readers while its own long poll is running.  The
+    store stops answering and the readers report that, but only calls started
+    afterwards are made short.
     """
     followers, _ = _followers()
     for follower in followers.members.values():
         follower.step()
     followers.wait('table')
     followers.clock.now += 1.0
-    followers.role_changed(sharing.Role.ASKS)
+    followers.role_changed(storereaders.Role.ASKS)
     assert [f.source.ended for f in followers.members.values()] == [1, 0]
     assert followers.wait('endpoints') == 0.0
--- a/packages/gateway/ibisring_gateway/tests/test_gossip.py
+++ b/packages/gateway/ibisring_gateway/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of the datagrams between routers of two releases."""
+"""Tests of gossip messages, also between routers of two releases."""
 
 import msgspec
 
@@ -8,12 +8,12 @@
 from ibisring_gateway import settings as settings_module
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_policy.gateway import suspects
 
 
 class _Older(msgspec.Struct, array_like=True):
-    """What a release tells that reads the store for itself only."""
+    """Message of an older release, which reads the store for itself only."""
 
     router: str
     tokens: dict[str, int]
@@ -30,7 +30,7 @@
 
 
 def test_an_older_release_reads_what_a_newer_one_tells():
-    suspect = suspects.Word(b'12345678', {1: 5})
+    suspect = suspects.SuspectUpdate(b'12345678', {1: 5})
     told = gossip.Told(
         'r1',
         {'x': 5},
@@ -48,16 +48,19 @@
 
 
 def test_an_older_release_reads_for_nobody():
-    """Failure: a router waits for changes that its neighbour never tells."""
+    """Failure: a router waits for changes that an older peer never sends."""
     data = msgspec.msgpack.encode(_Older('a', {}, [], domain='d', touch=2))
     told = msgspec.msgpack.decode(data, type=gossip.Told)
-    neighbour = sharing.Neighbour(told.router, told.standing, told.link)
-    own = sharing.Neighbour('b', sharing.Standing.SERVED)
-    assert sharing.role(own, [neighbour] * 3) is sharing.Role.READS
+    neighbour = storereaders.Neighbour(told.router, told.standing, told.link)
+    own = storereaders.Neighbour('b', storereaders.StoreAccess.SERVED)
+    assert (
+        storereaders.choose_role(own, [neighbour] * 3)
+        is storereaders.Role.READS
+    )
 
 
 def _gossip(view):
-    """Give a router's gossip that sends nothing, and what it heard."""
+    """Return a router's gossip that has no socket."""
     settings = settings_module.Settings(
         router_id='r0',
         failure_domain='a',
@@ -68,7 +71,7 @@
         peer_port=0,
     )
     followers = following.make_followers(
-        polling.Fleet, lambda: sharing.Role.READS
+        polling.Fleet, lambda: storereaders.Role.READS
     )
     for name in (peers.TABLE, peers.ENDPOINTS):
         followers.add(name, None, name == peers.TABLE, [].append)
@@ -79,15 +82,13 @@
 
 
 def test_what_is_not_in_force_yet_is_not_told_as_known():
-    """Symptom: one router sends to an endpoint that has left, for good.
+    """Failure: a router keeps sending to an endpoint that has left.
 
-    Sequence: a reader has read a change that its directory has yet to apply,
-    and tells how far it has read beside what was in force before; another
-    router takes nothing to have changed up to there, and leaves out the
-    change when it is told.
-    Cause: versions of what was read and of what is in force in one datagram.
+    A reader that has read a change but not yet applied it sends the new
+    position along with the old state.  Receivers conclude that nothing
+    changed up to that position, and skip the change when it is sent.
     """
-    view = builders.view_of([])
+    view = builders.make_view([])
     teller = _gossip(view)
     for follower in teller.peers.followers.members.values():
         follower.position = view.snapshot.position + 100
--- a/packages/gateway/ibisring_gateway/tests/test_screening.py
+++ b/packages/gateway/ibisring_gateway/tests/test_screening.py
@@ -26,7 +26,7 @@
 
 
 def _screen(has_ended=True):
-    view = builders.view_of([])
+    view = builders.make_view([])
     return screening.make_screen(view, _Prober(has_ended), builders.Metrics())
 
 
@@ -48,7 +48,7 @@
 
 
 def _ends(screen):
-    return screen.verdict(_job(screen)).ends
+    return screen.verdict(_job(screen)).crashes
 
 
 def test_an_end_before_any_answer_counts_and_is_told_at_once():
@@ -84,7 +84,7 @@
 def test_nobody_is_asked_about_what_this_router_ended():
     screen = _screen()
     attempt = _attempt(screen)
-    attempt.end = attempts.Result.CALLER_GONE
+    attempt.result = attempts.Result.CALLER_GONE
     assert screen.lost(_job(screen), attempt) is None
     assert screen.prober.asked == 0
 
