--- a/packages/policy/ibisring_policy/gateway/windows.py
+++ b/packages/policy/ibisring_policy/gateway/windows.py
@@ -31,7 +31,7 @@
 
     @property
     def is_loading(self):
-        """Whether it executes an order; until the end it refuses others."""
+        """Whether it is executing an order, and so refuses others."""
         return self.holding != self.loaded
 
     def max_layers(self, layer_mb, share=1.0):
