--- a/packages/policy/ibisring_policy/dispatch.py
+++ b/packages/policy/ibisring_policy/dispatch.py
@@ -1,8 +1,8 @@
 """Admission and placement of all requests of one router.
 
-`Dispatcher` is a state machine: each method takes the time, and returns the
-grants and refusals that follow.  The router's actor feeds it; so can a
-fuzzer or a bench.
+`Dispatcher` is a state machine: its methods take the current time and
+return the resulting grants and refusals.  It is driven by the router's
+actor, and by fuzz tests and benchmarks.
 """
 
 __all__ = [
@@ -23,19 +23,19 @@
 from ibisring_records import exceptions
 import msgspec
 
-RETRY_AFTER = 1.0
-LEAST_RETRY_AFTER = 0.1
-COST_WEIGHT = 0.1
-SPEED_WEIGHT = 0.2
-SLOW_SPEED_WEIGHT = 0.6
-LEAST_TOKEN_SECONDS = 1e-6
-MOST_PASSED = 4
+RETRY_AFTER_SECONDS = 1.0
+MIN_RETRY_AFTER_SECONDS = 0.1
+AVERAGE_WEIGHT = 0.1
+TOKEN_SECONDS_WEIGHT = 0.2
+SLOW_TOKEN_SECONDS_WEIGHT = 0.6
+MIN_TOKEN_SECONDS = 1e-6
+MAX_SKIPPED_TICKETS = 4
 
 
 class Grant(msgspec.Struct):
-    """A ticket may go to these endpoints, in the order of the chain.
+    """A ticket is to be sent to these endpoints, in the order of the chain.
 
-    `token_seconds` is the pace expected of them.
+    `token_seconds` is their expected time per token.
     """
 
     ticket: admission.Ticket
@@ -44,17 +44,17 @@
 
 
 class Refusal(msgspec.Struct):
-    """A waiting ticket is given up; it did not run."""
+    """A waiting ticket is rejected; it did not run."""
 
     ticket: admission.Ticket
     error: exceptions.IbisringError
 
 
 class AttemptReport(msgspec.Struct):
-    """How an attempt went.
+    """Result of an attempt.
 
-    `failure` is None if it went well; `failed_endpoint` is the endpoint at
-    fault.
+    `failure` is None if it succeeded; `failed_endpoint` names the endpoint
+    that failed.
     """
 
     ticket_id: str
@@ -76,12 +76,12 @@
     ----------
     rng : random.Random
     router_id : str
-        Chooses the subset of endpoints where there are many.
+        Determines the subset of endpoints used where there are many.
     """
 
     def __init__(self, rng, router_id):
         self.router_id = router_id
-        self.placer = placing.make_placer(rng, router_id, self._in_hand)
+        self.placer = placing.make_placer(rng, router_id, self._outstanding)
         self.states = self.placer.states
         self.queues = {}
         self.running = {}
@@ -93,43 +93,43 @@
     # Configuration and reports
 
     def configure(self, configuration, now):
-        """Take a configuration into force; see `placing.Placer`."""
+        """Apply a configuration; see `placing.Placer`."""
         self.placer.configure(configuration, now)
-        return self._pump_all(now)
+        return self._grant_all_waiting(now)
 
-    def set_routers(self, heard, takers):
-        """Take in which routers there are.
+    def set_routers(self, peers, serving):
+        """Set the routers that share endpoints and limits.
 
         Parameters
         ----------
-        heard : iterable of str
-            Peers whose demands are heard.
-        takers : list of str
-            All that take callers, as far as is known.
+        peers : iterable of str
+            Peers that report their demands to this router.
+        serving : list of str
+            All routers known to accept callers.
         """
-        self.limits.set_members(heard)
-        self.limits.routers = len(takers)
-        self.shares.set_routers(takers)
+        self.limits.set_members(peers)
+        self.limits.routers = len(serving)
+        self.shares.set_routers(serving)
 
     def observe(self, name, load, now):
-        """Take in an endpoint's own report of its load."""
+        """Record the load that an endpoint reports."""
         state = self.states.get(name)
         if state is not None:
             state.report(load, now)
 
     def observe_status(self, endpoint, ready, draining):
-        """Take in whether an endpoint can take work at all."""
+        """Record whether an endpoint accepts requests."""
         self.placer.observe_status(endpoint, ready, draining)
 
     @property
     def configuration(self):
-        """The configuration in force, or None."""
+        """The active configuration, or None."""
         return self.placer.configuration
 
     # Tickets
 
     def offer(self, ticket, now):
-        """Take a ticket in: grant, queue or refuse it.
+        """Queue a ticket, and grant what can be sent now.
 
         Returns
         -------
@@ -138,7 +138,7 @@
         Raises
         ------
         IbisringError
-            The ticket is refused; nothing ran.
+            The ticket is rejected; nothing ran.
         """
         self._check_target(ticket, now)
         queue = self.queues.get(ticket.target)
@@ -146,15 +146,15 @@
             queue = self.queues[ticket.target] = admission.make_queue()
         if queue.is_full():
             raise exceptions.Overloaded(
-                f'{len(queue)} requests wait already',
-                retry_after=RETRY_AFTER,
+                f'the queue is full: {len(queue)} requests are waiting',
+                retry_after=RETRY_AFTER_SECONDS,
             )
         self._check_deadline(ticket, queue, now)
-        self._charge(ticket, now)
+        self._charge_account(ticket, now)
         queue.add(ticket)
-        return self._pump(ticket.target, now)
+        return self._grant_waiting(ticket.target, now)
 
-    def _charge(self, ticket, now):
+    def _charge_account(self, ticket, now):
         account = self.configuration.accounts.get(ticket.account)
         limit = account.tokens_per_second if account is not None else 0.0
         self.limits.take(ticket.account, limit, ticket.cost, now)
@@ -164,34 +164,34 @@
             target = ticket.target
             name = target.service or f'{target.model}@{target.version}'
             raise exceptions.NoEndpoint(
-                f'no complete set of endpoints serves {name}',
-                retry_after=RETRY_AFTER,
+                f'no complete set of available endpoints serves {name}',
+                retry_after=RETRY_AFTER_SECONDS,
             )
 
     def _check_deadline(self, ticket, queue, now):
-        """Refuse at once what would come too late, and say when to return.
+        """Reject a ticket that would miss its deadline, with a retry time.
 
-        A request that waits out its deadline in the queue has cost its
-        caller that time, and the work done for it is thrown away.
+        If it waited in the queue until its deadline instead, the caller
+        would lose that time, and any work done for it would be wasted.
         """
-        pace = self.seconds_per_cost.get(ticket.target)
-        if not pace:
+        seconds_per_cost = self.seconds_per_cost.get(ticket.target)
+        if not seconds_per_cost:
             return
         if ticket.deadline <= now:
             raise exceptions.DeadlineUnreachable(
                 'the deadline has passed', retry_after=None
             )
-        rate = self.placer.capacity(ticket.target, now) / pace
+        rate = self.placer.capacity(ticket.target, now) / seconds_per_cost
         wait = queue.predicted_wait(ticket, rate)
-        late = now + wait + ticket.cost * pace - ticket.deadline
-        if late > 0.0 and wait > 0.0:
+        delay = now + wait + ticket.cost * seconds_per_cost - ticket.deadline
+        if delay > 0.0 and wait > 0.0:
             raise exceptions.DeadlineUnreachable(
-                f'the wait of {wait:.2f} s would miss the deadline',
-                retry_after=max(LEAST_RETRY_AFTER, min(late, wait)),
+                f'the expected wait of {wait:.2f} s would miss the deadline',
+                retry_after=max(MIN_RETRY_AFTER_SECONDS, min(delay, wait)),
             )
 
     def finish(self, report, now):
-        """Take in how a granted attempt went; free its endpoints."""
+        """Record the result of a granted attempt and free its slots."""
         running = self.running.pop(report.ticket_id, None)
         if running is None:
             return []
@@ -200,30 +200,33 @@
             if state is not None:
                 state.own = max(0, state.own - 1)
         if report.failure is None:
-            self._learn(running, report, now)
+            self._record_success(running, report, now)
         elif report.failure is retries.Failure.SLOW:
-            self._learn_pace(running, report, SLOW_SPEED_WEIGHT)
+            self._update_token_seconds(
+                running, report, SLOW_TOKEN_SECONDS_WEIGHT
+            )
         else:
-            self._blame(report, now)
-        return self._pump(running.ticket.target, now)
+            self._record_failure(report, now)
+        return self._grant_waiting(running.ticket.target, now)
 
-    def _learn(self, running, report, now):
-        self._learn_pace(running, report, SPEED_WEIGHT)
+    def _record_success(self, running, report, now):
+        self._update_token_seconds(running, report, TOKEN_SECONDS_WEIGHT)
         for name in running.names:
             if name in self.states:
                 self.states[name].succeeded(now)
         target = running.ticket.target
-        pace = report.seconds / max(1.0, running.ticket.cost)
-        _average(self.seconds_per_cost, target, pace)
+        per_cost = report.seconds / max(1.0, running.ticket.cost)
+        _update_average(self.seconds_per_cost, target, per_cost)
         per_token = report.seconds / max(1, report.tokens)
-        _average(self.token_seconds, target, per_token)
+        _update_average(self.token_seconds, target, per_token)
 
-    def _learn_pace(self, running, report, weight):
-        """Move the believed paces of a chain towards what was measured.
+    def _update_token_seconds(self, running, report, weight):
+        """Update the estimated seconds per token of a chain's endpoints.
 
-        Only the whole chain's pace is seen.  The error is spread over its
-        stages evenly; since chains mix stages at random, the share that
-        belongs to one stage settles on it (least mean squares [1]_).
+        Only the time of the whole chain is measured.  The error is spread
+        evenly over its stages; because chains combine stages at random, the
+        estimates converge to the time of each stage (least mean squares
+        [1]_).
 
         References
         ----------
@@ -234,17 +237,17 @@
         if not states:
             return
         per_token = report.seconds / max(1, report.tokens)
-        believed = sum(state.token_seconds for state in states)
-        change = weight * (per_token - believed) / len(states)
+        estimated = sum(state.token_seconds for state in states)
+        change = weight * (per_token - estimated) / len(states)
         for state in states:
             if state.measured:
-                pace = state.token_seconds + change
+                token_seconds = state.token_seconds + change
             else:
-                pace = per_token / len(states)
-            state.token_seconds = max(LEAST_TOKEN_SECONDS, pace)
+                token_seconds = per_token / len(states)
+            state.token_seconds = max(MIN_TOKEN_SECONDS, token_seconds)
             state.measured = True
 
-    def _blame(self, report, now):
+    def _record_failure(self, report, now):
         state = self.states.get(report.failed_endpoint)
         if state is None or report.failure is retries.Failure.GONE:
             return
@@ -258,104 +261,105 @@
         state.failed(now, severe)
 
     def cancel(self, ticket_id, now):
-        """Take out a ticket whose caller is gone."""
+        """Remove the waiting ticket of a caller that disconnected."""
         for target, queue in self.queues.items():
             ticket = queue.remove(ticket_id)
             if ticket is not None:
                 self.limits.give_back(ticket.account, ticket.cost)
-                return self._pump(target, now)
+                return self._grant_waiting(target, now)
         return []
 
     def tick(self, now):
-        """Return up what can't meet its deadline any more; grant the rest."""
+        """Reject tickets that can't meet their deadline; grant others."""
         for target in self.queues:
-            # Also where nothing arrives: what peers are told must sink.
+            # Without arrivals too, so that the demand sent to peers decays.
             self.placer.parts_of_all(target, now)
         results = []
         for target, queue in self.queues.items():
-            pace = 0.0
+            per_cost = 0.0
             if len(queue) > 1:
-                pace = self.seconds_per_cost.get(target, 0.0)
+                per_cost = self.seconds_per_cost.get(target, 0.0)
             for ticket in queue.in_order():
-                if now + ticket.cost * pace < ticket.deadline:
+                if now + ticket.cost * per_cost < ticket.deadline:
                     continue
                 queue.remove(ticket.id)
                 self.limits.give_back(ticket.account, ticket.cost)
                 error = exceptions.DeadlineUnreachable(
-                    'the queue did not move fast enough',
-                    retry_after=RETRY_AFTER,
+                    'the deadline can no longer be met after waiting',
+                    retry_after=RETRY_AFTER_SECONDS,
                 )
                 results.append(Refusal(ticket, error))
-        results.extend(self._pump_all(now))
+        results.extend(self._grant_all_waiting(now))
         return results
 
     def waiting(self):
-        """Return how many tickets wait."""
+        """Return the number of waiting tickets."""
         return sum(len(queue) for queue in self.queues.values())
 
     # Placement
 
-    def _pump_all(self, now):
+    def _grant_all_waiting(self, now):
         results = []
         for target in list(self.queues):
-            results.extend(self._pump(target, now))
+            results.extend(self._grant_waiting(target, now))
         return results
 
-    def _pump(self, target, now):
+    def _grant_waiting(self, target, now):
         queue = self.queues.get(target)
         if not queue:
             return []
         grants = []
-        passed = 0
-        while passed < min(len(queue), MOST_PASSED):
-            ticket = queue.peek(passed)
+        skipped = 0
+        while skipped < min(len(queue), MAX_SKIPPED_TICKETS):
+            ticket = queue.peek(skipped)
             contended = len(queue) > 1
             endpoints = self.placer.place(ticket, now, contended)
             if endpoints is None and not ticket.avoid:
-                # Those behind are no more urgent and need the same slots.
+                # Later tickets are not more urgent and need the same slots.
                 break
             if endpoints is None or (
-                contended and self._too_late(ticket, endpoints, now)
+                contended and self._would_miss_deadline(ticket, endpoints, now)
             ):
-                passed += 1
+                skipped += 1
                 continue
             queue.grant(ticket.id)
             grants.append(self._start(ticket, endpoints))
         return grants
 
-    def _too_late(self, ticket, endpoints, now):
+    def _would_miss_deadline(self, ticket, endpoints, now):
         """Return whether these endpoints would finish a ticket too late.
 
-        Work that is late when it is done takes the place of work that
-        would be in time.  Accelerators differ in speed, so this is looked
-        at again once the endpoints are known; the ticket waits for faster
-        ones, and one behind it may take these.  Asked only while others
-        wait: a cost goes by the most tokens that the caller allows, and an
-        idle engine must not be refused to a request that may end early.
+        A request that finishes late uses slots that others would use in
+        time.  Accelerators differ in speed, so the deadline is checked again
+        once the endpoints are known; the ticket then waits for faster ones,
+        and a later ticket may use these.  This is checked only while others
+        wait: the cost is based on the maximum number of tokens that the
+        caller allows, and a request that may end early must not be kept from
+        an idle engine.
         """
-        pace = self.seconds_per_cost.get(ticket.target, 0.0)
-        usual = self.token_seconds.get(ticket.target, 0.0)
-        expected = self._expected_pace([e.name for e in endpoints])
-        if usual and expected < math.inf:
-            pace *= expected / usual
-        return now + ticket.cost * pace > ticket.deadline
+        per_cost = self.seconds_per_cost.get(ticket.target, 0.0)
+        average = self.token_seconds.get(ticket.target, 0.0)
+        expected = self._expected_token_seconds([e.name for e in endpoints])
+        if average and expected < math.inf:
+            per_cost *= expected / average
+        return now + ticket.cost * per_cost > ticket.deadline
 
     def _start(self, ticket, endpoints):
         names = [endpoint.name for endpoint in endpoints]
         for name in names:
             self.states[name].own += 1
         self.running[ticket.id] = _Running(ticket, names)
-        return Grant(ticket, endpoints, self._expected_pace(names))
+        return Grant(ticket, endpoints, self._expected_token_seconds(names))
 
-    def _expected_pace(self, names):
-        """Return the expected seconds a token, infinite if not measured."""
+    def _expected_token_seconds(self, names):
+        """Return the expected seconds per token, infinite if unmeasured."""
         states = [self.states[name] for name in names]
         if not all(state.measured for state in states):
             return math.inf
         return sum(state.token_seconds for state in states)
 
-    def _in_hand(self, pool):
-        """Return how many requests of a pool run or wait here."""
+    def _outstanding(self, pool):
+        """Return how many requests of a pool run or wait at this router."""
         waiting = sum(
             len(queue)
             for target, queue in self.queues.items()
@@ -368,10 +372,10 @@
         return waiting + running
 
 
-def _average(averages, key, value):
-    """Move a running average towards a value."""
+def _update_average(averages, key, value):
+    """Update an exponential moving average with a value."""
     old = averages.get(key, value)
-    averages[key] = old + COST_WEIGHT * (value - old)
+    averages[key] = old + AVERAGE_WEIGHT * (value - old)
 
 
 def make_dispatcher(rng, router_id=''):
--- a/packages/policy/ibisring_policy/tests/builders.py
+++ b/packages/policy/ibisring_policy/tests/builders.py
@@ -1,6 +1,13 @@
 """Test data: configurations, tickets and dispatchers."""
 
-__all__ = ['MODEL', 'TARGET', 'SERVICE', 'in_force', 'ticket', 'dispatcher']
+__all__ = [
+    'MODEL',
+    'TARGET',
+    'SERVICE',
+    'active_configuration',
+    'ticket',
+    'dispatcher',
+]
 
 import math
 import random
@@ -31,10 +38,10 @@
     return configuration.Endpoint(name, spec)
 
 
-def in_force(
+def active_configuration(
     replicas=2, slots=2, reserved=0.0, limit=0.0, leaving=(), standby=()
 ):
-    """Return a model of two stages and a service, with some replicas each."""
+    """Return a configuration of a two-stage model and a service."""
     endpoints = {}
     for number in range(replicas):
         for first, last in RANGES:
@@ -72,8 +79,8 @@
 
 
 def ticket(name, **changes):
-    """Return a ticket for the model unless told otherwise."""
-    given = {
+    """Return a ticket, for the model by default."""
+    values = {
         'account': 'a',
         'rank': 1,
         'target': TARGET,
@@ -82,11 +89,11 @@
         'arrived': 0.0,
         **changes,
     }
-    return admission.Ticket(id=str(name), **given)
+    return admission.Ticket(id=str(name), **values)
 
 
 def dispatcher(seed=3, **changes):
-    """Return a dispatcher that has a configuration in force."""
+    """Return a dispatcher with an active configuration."""
     made = dispatch.make_dispatcher(random.Random(seed))
-    made.configure(in_force(**changes), 0.0)
+    made.configure(active_configuration(**changes), 0.0)
     return made
--- a/packages/policy/ibisring_policy/tests/test_dispatch.py
+++ b/packages/policy/ibisring_policy/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Admission and placement: urgency, fairness, refusal, ejection, draining."""
+"""Admission and placement: priority, fairness, rejection, ejection, drain."""
 
 import collections
 import random
@@ -23,7 +23,7 @@
 
 
 def fill(dispatcher, count=4, **changes):
-    """Take every slot of the model's chains."""
+    """Occupy every slot of the model's chains."""
     for number in range(count):
         made = builders.ticket(f'fill{number}', **changes)
         assert granted(dispatcher.offer(made, 0.0))
@@ -61,7 +61,7 @@
         self.last_layer = last_layer
 
 
-def test_urgent_goes_before_what_waited_longer():
+def test_urgent_request_is_granted_before_one_that_waited_longer():
     dispatcher = builders.dispatcher()
     fill(dispatcher)
     assert not dispatcher.offer(builders.ticket('normal'), 0.0)
@@ -78,11 +78,11 @@
     assert granted(dispatcher.offer(urgent, 0.0)) == ['u']
 
 
-def test_a_large_accounts_backlog_does_not_hold_up_a_small_account():
-    """Symptom: a small kitchen waits behind a plant's hundred drafts.
+def test_backlog_of_one_account_does_not_delay_another():
+    """Guards against serving a class in order of arrival.
 
-    Sequence: one account queues many requests, another queues one.
-    Cause: first come, first served.
+    A single request of one account would then wait behind a hundred
+    requests that another account queued before it.
     """
     dispatcher = builders.dispatcher()
     fill(dispatcher)
@@ -94,7 +94,7 @@
     assert 'small' in first + second
 
 
-def test_weights_share_out_the_tokens():
+def test_tokens_are_served_in_proportion_to_account_weights():
     dispatcher = builders.dispatcher(replicas=1, slots=1)
     fill(dispatcher, 1)
     for number in range(40):
@@ -109,11 +109,11 @@
     assert 14 <= served['h'] <= 16
 
 
-def test_hopeless_wait_is_refused_at_once():
-    """Symptom: callers wait out their deadline and get nothing.
+def test_request_that_would_miss_its_deadline_is_rejected_immediately():
+    """Guards against queueing requests that can't finish in time.
 
-    Sequence: more requests come than are finished.
-    Cause: the queue took what it could not finish in time.
+    When requests arrive faster than they finish, callers would wait until
+    their deadline and get no answer.
     """
     dispatcher = builders.dispatcher()
     fill(dispatcher)
@@ -129,20 +129,20 @@
     assert not dispatcher.offer(patient, 1.0)
 
 
-def test_generous_token_limit_is_no_reason_to_refuse_when_idle():
-    """Symptom: an idle site refuses a short question.
+def test_high_token_limit_is_not_rejected_when_idle():
+    """Guards against rejecting a short request on an idle site.
 
-    Sequence: a caller allows thousands of tokens, for an answer of ten.
-    Cause: the cost, which goes by what is allowed, looked too late.
+    The cost is based on the tokens that the caller allows; thousands
+    allowed for an answer of ten seemed to miss the deadline.
     """
     dispatcher = builders.dispatcher()
     fill(dispatcher, 1)
     finish(dispatcher, 'fill0', seconds=1.0, tokens=10)
-    generous = builders.ticket('n', cost=5000.0, deadline=10.0)
-    assert granted(dispatcher.offer(generous, 1.0)) == ['n']
+    expensive = builders.ticket('n', cost=5000.0, deadline=10.0)
+    assert granted(dispatcher.offer(expensive, 1.0)) == ['n']
 
 
-def test_passed_deadline_in_the_queue_is_a_refusal():
+def test_ticket_whose_deadline_passes_in_the_queue_is_refused():
     dispatcher = builders.dispatcher()
     fill(dispatcher)
     dispatcher.offer(builders.ticket('w', deadline=3.0), 0.0)
@@ -160,10 +160,10 @@
     assert not granted(finish(dispatcher, 'fill0'))
 
 
-def test_leaving_endpoint_gets_nothing_and_finishes_what_runs():
+def test_leaving_endpoint_finishes_its_requests_and_gets_no_new_ones():
     dispatcher = builders.dispatcher()
     fill(dispatcher, 4)
-    dispatcher.configure(builders.in_force(leaving=['e0-0']), 0.5)
+    dispatcher.configure(builders.active_configuration(leaving=['e0-0']), 0.5)
     assert dispatcher.states['e0-0'].own == 2
     for number in range(4):
         finish(dispatcher, f'fill{number}')
@@ -171,14 +171,16 @@
     assert grant.endpoints[0].name == 'e0-1'
 
 
-def test_joining_engine_gets_work_only_once_it_is_ready():
-    """Symptom: nonsense words when engines join.
+def test_joining_engine_gets_requests_only_once_it_is_ready():
+    """Guards against corrupt answers when an engine joins.
 
-    Sequence: a record names a new engine that still loads its layers.
-    Cause: whatever stood in the records was taken for ready.
+    A record may name an engine that is still loading its layers, so being
+    in the records does not mean that it is ready.
     """
     dispatcher = builders.dispatcher(replicas=1, slots=1)
-    dispatcher.configure(builders.in_force(replicas=2, slots=1), 1.0)
+    dispatcher.configure(
+        builders.active_configuration(replicas=2, slots=1), 1.0
+    )
     fill(dispatcher, 1)
     assert not dispatcher.offer(builders.ticket('n'), 1.0)
     for name in ('e0-1', 'e2-1'):
@@ -187,31 +189,30 @@
     assert granted(dispatcher.tick(1.1)) == ['n']
 
 
-def test_engine_whose_record_names_other_layers_waits_for_them():
+def test_engine_assigned_other_layers_is_not_ready_until_they_are_loaded():
     dispatcher = builders.dispatcher(replicas=2)
-    changed = builders.in_force(replicas=2)
+    changed = builders.active_configuration(replicas=2)
     moved = builders.endpoint(
         'e0-0', 0, 1, model=builders.MODEL, version='m@2'
     )
     changed.endpoints['e0-0'] = moved
     dispatcher.configure(changed, 1.0)
-    old = builders.in_force(replicas=2).endpoints['e0-0']
+    old = builders.active_configuration(replicas=2).endpoints['e0-0']
     dispatcher.observe_status(old, ready=True, draining=False)
     assert not dispatcher.states['e0-0'].ready
     assert dispatcher.states['e0-1'].ready
 
 
-def test_missing_stage_is_said_at_once():
+def test_missing_stage_is_rejected_immediately():
     dispatcher = builders.dispatcher(leaving=['e0-0', 'e0-1'])
     with pytest.raises(exceptions.NoEndpoint):
         dispatcher.offer(builders.ticket('n'), 0.0)
 
 
 def test_last_complete_chain_is_never_ejected():
-    """Symptom: a bad minute became an outage.
+    """Guards against ejecting every endpoint when all of them have failed.
 
-    Sequence: every endpoint fails a few times.
-    Cause: each was left out, until none was left.
+    A short period of failures would then become an outage.
     """
     dispatcher = builders.dispatcher()
     for state in dispatcher.states.values():
@@ -227,11 +228,12 @@
         assert grant.endpoints[0].name == 'e0-1'
 
 
-def test_endpoint_that_refuses_everything_is_left_alone():
-    """Symptom: requests fail as not run while engines are free.
+def test_endpoint_that_refuses_everything_is_ejected():
+    """Guards against spending the retry budget on one broken engine.
 
-    Sequence: an engine loses its layers and refuses all it is sent.
-    Cause: each refusal cost a retry, and the budget for them ran out.
+    An engine that lost its layers refuses every request.  If it were chosen
+    again each time, the retry budget would run out and requests would fail
+    although other engines are free.
     """
     dispatcher = builders.dispatcher()
     refused = 0
@@ -251,7 +253,7 @@
     assert refused == loads.EJECT_AFTER
 
 
-def test_refusals_shrink_the_limit_and_success_restores_it():
+def test_refusals_reduce_the_limit_and_successes_restore_it():
     state = loads.make_state(8, 0.0)
     for _ in range(20):
         state.refused(0.0)
@@ -262,7 +264,7 @@
     assert state.limit == 8
 
 
-def test_reported_load_is_corrected_by_what_is_ours():
+def test_own_requests_are_subtracted_from_the_reported_load():
     state = loads.make_state(8, -100.0)
     state.own = 3
     state.report(Load(5, 0, 8), 10.0)
@@ -279,7 +281,7 @@
         self.slots = slots
 
 
-def test_account_limit_refuses_and_says_when_to_return():
+def test_account_over_its_limit_is_rejected_with_a_retry_time():
     dispatcher = builders.dispatcher(slots=100, limit=10.0)
     dispatcher.offer(builders.ticket(1, cost=30.0), 0.0)
     with pytest.raises(exceptions.AccountLimited) as caught:
@@ -356,11 +358,11 @@
             assert state.own == held <= state.slots
 
 
-def test_standby_takes_work_only_for_layers_that_have_no_active_engine():
-    """Symptom: layers have no engine though one stands by with them.
+def test_standby_is_used_only_for_layers_that_have_no_active_engine():
+    """Guards against ignoring standbys, and against always using them.
 
-    Sequence: the only active engine of a range fails; a standby holds it.
-    Cause: standbys were left out of every choice, or took part in all.
+    When the only active engine of a layer range fails, a standby that
+    holds these layers must take over.
     """
     dispatcher = builders.dispatcher(standby=('e0-1', 'e2-1'), slots=4)
     before = [dispatcher.offer(builders.ticket(n), 0.0) for n in range(2)]
@@ -382,17 +384,19 @@
     )
 
 
-def test_routers_together_give_an_engine_no_more_than_its_slots():
-    """Symptom: at full load urgent requests miss their bound.
+def test_routers_together_send_an_engine_no_more_than_its_slots():
+    """Guards against overfilled engines when several routers are loaded.
 
-    Sequence: six routers, each with more requests than the site has slots.
-    Cause: each filled every engine alone; reports came too late to stop it.
+    Load reports lag, so six routers that each used all slots of an engine
+    overfilled it, and urgent requests missed their latency bound.
     """
     names = [f'r{number}' for number in range(6)]
     given = collections.Counter()
     for name in names:
         router = dispatch.make_dispatcher(random.Random(name), name)
-        router.configure(builders.in_force(replicas=4, slots=8), 0.0)
+        router.configure(
+            builders.active_configuration(replicas=4, slots=8), 0.0
+        )
         router.set_routers([n for n in names if n != name], names)
         for number in range(40):
             for grant in router.offer(builders.ticket(number), 0.0):
@@ -403,12 +407,12 @@
     assert sum(given.values()) > 0.8 * 8 * 8
 
 
-def with_paces(paces):
-    """Return a dispatcher whose engines e0-0, e2-0 ... have known paces."""
+def with_token_seconds(token_seconds):
+    """Return a dispatcher with measured seconds per token, by replica."""
     dispatcher = builders.dispatcher()
     for name, state in dispatcher.states.items():
-        if name[-1] in paces:
-            state.token_seconds = paces[name[-1]]
+        if name[-1] in token_seconds:
+            state.token_seconds = token_seconds[name[-1]]
             state.measured = True
     return dispatcher
 
@@ -417,32 +421,32 @@
     'deadline, chain',
     [(10.0, ('e0-1', 'e2-1')), (1.0, ('e0-0', 'e2-0'))],
 )
-def test_request_with_time_to_spare_leaves_the_fast_engines(deadline, chain):
-    """Symptom: a long draft comes too late on a half idle site.
+def test_request_with_spare_time_uses_idle_slow_engines(deadline, chain):
+    """Guards against a late long request on a partly idle site.
 
-    Sequence: short requests fill the fast engines; a long one comes.
-    Cause: every request took the fastest engine that had a slot.
+    If every request takes the fastest engine with a free slot, short
+    requests fill the fast engines before a long one arrives.
     """
-    dispatcher = with_paces({'0': 0.04, '1': 0.1})
+    dispatcher = with_token_seconds({'0': 0.04, '1': 0.1})
     for name in ('e0-0', 'e2-0'):
         dispatcher.states[name].own = 1
     ticket = builders.ticket('n', cost=10.0, deadline=deadline)
     assert names_of(dispatcher.offer(ticket, 0.0)) == chain
 
 
-def test_engine_too_slow_for_a_request_is_not_taken_for_being_empty():
-    dispatcher = with_paces({'0': 0.01, '1': 5.0})
+def test_idle_engine_too_slow_for_the_deadline_is_not_used():
+    dispatcher = with_token_seconds({'0': 0.01, '1': 5.0})
     for name in ('e0-0', 'e2-0'):
         dispatcher.states[name].own = 1
     ticket = builders.ticket('n', cost=10.0, deadline=50.0)
     assert names_of(dispatcher.offer(ticket, 0.0)) == ('e0-0', 'e2-0')
 
 
-def test_idle_engines_are_taken_at_random():
-    """Symptom: on an idle site one engine's silence meets every request.
+def test_idle_engines_are_chosen_at_random():
+    """Guards against choosing the first by name among equal engines.
 
-    Sequence: all engines are empty; the first by name never answers.
-    Cause: among equals the first by name was taken.
+    On an idle site every request would then go to the same engine, also if
+    that one never answers.
     """
     chains = {
         names_of(
@@ -453,27 +457,27 @@
     assert len(chains) == 4
 
 
-def test_degraded_engine_is_not_taken_for_being_empty():
-    """Symptom: after a link degraded, requests go on coming late.
+def test_idle_degraded_engine_is_not_used():
+    """Guards against choosing a degraded engine because it is idle.
 
-    Sequence: an engine becomes a hundred times slower and is left by all;
-    callers allow a minute, though they want an answer in a second.
-    Cause: the empty engine could still meet their deadline.
+    After a link degrades, an engine that is a hundred times slower gets no
+    requests; it can still meet a deadline of a minute although callers
+    want the answer within a second.
     """
-    dispatcher = with_paces({'0': 0.01, '1': 1.0})
+    dispatcher = with_token_seconds({'0': 0.01, '1': 1.0})
     for name in ('e0-0', 'e2-0'):
         dispatcher.states[name].own = 1
     ticket = builders.ticket('n', cost=10.0, deadline=60.0)
     assert names_of(dispatcher.offer(ticket, 0.0)) == ('e0-0', 'e2-0')
 
 
-def test_request_wanted_soon_takes_the_fast_engines():
-    """Symptom: label texts come within their deadline and over their bound.
+def test_request_with_a_tight_objective_uses_the_fast_engines():
+    """Guards against missing the objective of a request with a late deadline.
 
-    Sequence: a class has an objective of 0.6 s and a deadline of a minute.
-    Cause: only the deadline said whether there was time to spare.
+    A class has an objective of 0.6 s and a deadline of a minute; spare time
+    must be computed from the earlier of the two.
     """
-    dispatcher = with_paces({'0': 0.04, '1': 0.1})
+    dispatcher = with_token_seconds({'0': 0.04, '1': 0.1})
     for name in ('e0-0', 'e2-0'):
         dispatcher.states[name].own = 1
     ticket = builders.ticket('n', cost=10.0, deadline=60.0, wanted_by=0.6)
--- a/packages/policy/ibisring_policy/tests/test_orders.py
+++ b/packages/policy/ibisring_policy/tests/test_orders.py
@@ -38,7 +38,7 @@
     )
 
 
-def in_force(wanted, adapters=()):
+def active_configuration(wanted, adapters=()):
     return configuration.Configuration(
         1,
         {},
@@ -61,7 +61,7 @@
     wanted = endpoint()
     busy = status('m@1', running=1)
     idle = status('m@1')
-    current = in_force(wanted)
+    current = active_configuration(wanted)
     assert orders.next_order(wanted, busy, current) is None
     order = orders.next_order(wanted, idle, current)
     assert (order.kind, order.version) == (schemas.OrderKind.LOAD, 'm@2')
@@ -70,7 +70,7 @@
 
 def test_adapter_is_removed_only_if_no_record_names_it():
     wanted = endpoint(adapters=('x',))
-    current = in_force(wanted, adapters=['x', 'y'])
+    current = active_configuration(wanted, adapters=['x', 'y'])
     held = status(adapters=['y', 'z'])
     order = orders.next_order(wanted, held, current)
     assert order.adapters == ['x', 'y']
@@ -114,7 +114,7 @@
     Cause: the order went out as soon as the engine seemed idle.
     """
     wanted = endpoint(state=LEAVING, checks_fencing=True)
-    current = in_force(wanted)
+    current = active_configuration(wanted)
     clock = orders.IdleTracker()
     enough = orders.UNLOAD_AFTER_SECONDS
     early = idle_at(clock, wanted, status, 10.0, 10.0 + enough - 0.1)
@@ -139,7 +139,10 @@
     """
     wanted = endpoint(state=LEAVING)
     long = 10 * orders.UNLOAD_AFTER_SECONDS
-    assert orders.next_order(wanted, status(), in_force(wanted), long) is None
+    assert (
+        orders.next_order(wanted, status(), active_configuration(wanted), long)
+        is None
+    )
 
 
 def test_engine_that_cannot_be_read_is_not_idle():
@@ -163,7 +166,7 @@
 
 def test_role_is_ordered_where_an_engine_reports_another():
     wanted = endpoint(role=STANDBY)
-    current = in_force(wanted)
+    current = active_configuration(wanted)
     held = status()
     assert orders.next_order(wanted, held, current) is None
     held.role = 'active'
