--- a/packages/policy/ibisring_policy/leases.py
+++ b/packages/policy/ibisring_policy/leases.py
@@ -1,8 +1,9 @@
-"""Leases on shares of the endpoints, kept as rows of the table service.
+"""Leases on shares of the endpoints, stored as rows of the table service.
 
-No clock is compared with another machine's.  A holder trusts its lease for
-its length since just before it wrote the row, less a margin; a contender
-takes it only after it has seen the row unchanged for longer than that.
+Clocks of different machines are never compared.  A holder considers its
+lease valid for the lease's length, less a margin, from just before it sent
+the write of the row; a contender acquires the lease only after it has seen
+the row unchanged for longer than the full length.
 """
 
 __all__ = ['LeaseRow', 'Intent', 'Lease', 'share_of', 'contenders']
@@ -13,16 +14,17 @@
 import msgspec
 import xxhash
 
+# Fraction of a lease's length.
 MARGIN = 0.2
-RENEW_PART = 1.0 / 3.0
-CONTENDERS = 2
+RENEW_FRACTION = 1.0 / 3.0
+MAX_CONTENDERS = 2
 NO_HOLDER = ''
 
 
 class LeaseRow(msgspec.Struct):
-    """A lease as kept; `count` grows with each renewal.
+    """A lease as stored; `count` increases with each renewal.
 
-    `fencing` grows with each new holder and stands on all its orders.
+    `fencing` increases with each new holder and is sent with its orders.
     """
 
     holder: str
@@ -32,7 +34,7 @@
 
 
 class Intent(enum.StrEnum):
-    """What a router should do about a lease now."""
+    """Next action of a router for a lease."""
 
     WAIT = 'wait'
     ACQUIRE = 'acquire'
@@ -40,24 +42,24 @@
 
 
 def share_of(name, shares):
-    """Return the number of the share that an endpoint belongs to."""
+    """Return the number of the share to which an endpoint belongs."""
     return xxhash.xxh64_intdigest(name.encode()) % shares
 
 
 def contenders(share, members):
-    """Return the members that may take a share's lease, the first first.
+    """Return the members that may acquire a share's lease, in rank order.
 
-    Only a few contend, so that the rows are read by few.
+    Their number is limited so that only a few routers read each row.
     """
     ranked = sorted(
         members,
         key=lambda name: xxhash.xxh64_intdigest(f'{share}\0{name}'.encode()),
     )
-    return ranked[:CONTENDERS]
+    return ranked[:MAX_CONTENDERS]
 
 
 class Lease:
-    """One lease as one router sees it.
+    """A router's view of one lease.
 
     Parameters
     ----------
@@ -67,10 +69,10 @@
 
     Notes
     -----
-    What goes wrong without the margins: a holder is paused between two of
-    its steps, the lease lapses, another router takes it, and both order the
-    same engine about.  The holder checks `holds` right before each order;
-    the fencing number stops what slips through at engines that check it.
+    The margins guard against two routers sending orders to one engine: a
+    holder is paused, its lease expires, and another router acquires it.
+    The holder checks `holds` right before each order; orders sent too late
+    are rejected by engines that check the fencing number.
     """
 
     __slots__ = (
@@ -95,7 +97,7 @@
         self.term = 0
 
     def observe(self, row, version, now):
-        """Take in the row as just read (None if absent)."""
+        """Record the row as just read (None if absent)."""
         if self.row is None or version != self.version:
             self.seen_at = now
         self.row = row
@@ -104,11 +106,11 @@
             self.held_until = -math.inf
 
     def holds(self, now):
-        """Return whether orders may be sent; ask right before each."""
+        """Return whether the lease is valid; check right before each order."""
         return now < self.held_until
 
     def intent(self, now, is_contender):
-        """Decide what to do, after `observe`.
+        """Return the next action, given the row passed to `observe`.
 
         Parameters
         ----------
@@ -120,21 +122,21 @@
         Intent
         """
         if self.holds(now):
-            since = now - (self.held_until - self._trusted())
-            due = since >= self.seconds * RENEW_PART
+            elapsed = now - (self.held_until - self._trusted_seconds())
+            due = elapsed >= self.seconds * RENEW_FRACTION
             return Intent.RENEW if due else Intent.WAIT
         if not is_contender:
             return Intent.WAIT
         if self.row is None or self.row.holder == NO_HOLDER:
             return Intent.ACQUIRE
-        # A row under the own id that is not held now is a former process's
-        # or a lapsed one, and is waited out like another's.
-        waited = now - self.seen_at
-        if waited > self.row.seconds * (1.0 + MARGIN):
+        # A row under our own id that is not held belongs to a former process
+        # or has expired; it must expire like that of any other holder.
+        unchanged_seconds = now - self.seen_at
+        if unchanged_seconds > self.row.seconds * (1.0 + MARGIN):
             return Intent.ACQUIRE
         return Intent.WAIT
 
-    def _trusted(self):
+    def _trusted_seconds(self):
         return self.seconds * (1.0 - MARGIN)
 
     def next_row(self, intent):
@@ -146,7 +148,7 @@
         return LeaseRow(self.own_id, fencing, self.seconds, count + 1)
 
     def written(self, row, version, sent_at, intent):
-        """Take in that a row was written.
+        """Record that a row was written.
 
         Parameters
         ----------
@@ -159,31 +161,31 @@
         self.row = row
         self.version = version
         self.seen_at = sent_at
-        self.held_until = sent_at + self._trusted()
+        self.held_until = sent_at + self._trusted_seconds()
         if intent is Intent.ACQUIRE:
             self.acquired_at = sent_at
             self.term = row.fencing
 
     def is_own_term(self):
-        """Return whether the row is still this process's, lapsed or not.
+        """Return whether this process wrote the row, expired or not.
 
-        The fencing number tells it from a row that a later process wrote
-        under the same id.
+        The fencing number distinguishes it from a row that a later process
+        wrote under the same id.
         """
         if self.row is None or self.row.holder != self.own_id:
             return False
         return self.row.fencing == self.term
 
     def released_row(self):
-        """Return the row that hands the lease over; trust it no longer.
+        """Return the row that releases the lease, and stop holding it.
 
         Notes
         -----
-        What goes wrong if only leases still held are released: a process
-        that leaves slowly (its last report goes to a store that is slow)
-        has let them lapse, and their rows name it until others have waited
-        them out.  Written over the version last seen, the row can't take
-        the lease from whoever has it by then.
+        Expired leases are released too.  A process that shuts down slowly
+        (its last report goes to a slow store) lets them expire, and their
+        rows would name it until they time out for the other routers.  The
+        row is written against the version last seen, so it can't overwrite
+        that of a new holder.
         """
         self.held_until = -math.inf
         return LeaseRow(
--- a/packages/policy/ibisring_policy/tests/test_leases.py
+++ b/packages/policy/ibisring_policy/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases and orders: one orderer at a time, and late orders do no harm."""
+"""Leases: at most one holder, and late orders are fenced off."""
 
 from hypothesis import Phase
 from hypothesis import settings
@@ -116,21 +116,24 @@
     run_machine()
 
 
-def no_waiting(monkeypatch):
+def acquire_without_waiting(monkeypatch):
     monkeypatch.setattr(leases, 'MARGIN', -0.9)
 
 
-def trust_for_too_long(monkeypatch):
-    written = leases.Lease.written
+def hold_for_too_long(monkeypatch):
+    real = leases.Lease.written
 
-    def careless(self, row, version, sent_at, intent):
-        written(self, row, version, sent_at + 3 * SECONDS, intent)
+    def written_late(self, row, version, sent_at, intent):
+        real(self, row, version, sent_at + 3 * SECONDS, intent)
 
-    monkeypatch.setattr(leases.Lease, 'written', careless)
+    monkeypatch.setattr(leases.Lease, 'written', written_late)
 
 
-@pytest.mark.parametrize('break_guard', [no_waiting, trust_for_too_long])
-def test_oracle_notices_a_broken_guard(break_guard, monkeypatch):
+@pytest.mark.parametrize(
+    'break_guard', [acquire_without_waiting, hold_for_too_long]
+)
+def test_oracle_detects_a_broken_guard(break_guard, monkeypatch):
+    """The invariants of the machine must fail without the waiting times."""
     break_guard(monkeypatch)
     with pytest.raises(AssertionError):
         run_machine((Phase.generate,))
