--- a/packages/policy/ibisring_policy/dispatch.py
+++ b/packages/policy/ibisring_policy/dispatch.py
@@ -107,7 +107,7 @@
         serving : list of str
             All routers known to accept callers.
         """
-        self.limits.set_members(peers)
+        self.limits.set_peers(peers)
         self.limits.routers = len(serving)
         self.shares.set_routers(serving)
 
@@ -115,7 +115,7 @@
         """Record the load that an endpoint reports."""
         state = self.states.get(name)
         if state is not None:
-            state.report(load, now)
+            state.record_load(load, now)
 
     def observe_status(self, endpoint, ready, draining):
         """Record whether an endpoint accepts requests."""
@@ -213,7 +213,7 @@
         self._update_token_seconds(running, report, TOKEN_SECONDS_WEIGHT)
         for name in running.names:
             if name in self.states:
-                self.states[name].succeeded(now)
+                self.states[name].record_success(now)
         target = running.ticket.target
         per_cost = report.seconds / max(1.0, running.ticket.cost)
         _update_average(self.seconds_per_cost, target, per_cost)
@@ -252,20 +252,20 @@
         if state is None or report.failure is retries.Failure.GONE:
             return
         if report.failure is retries.Failure.REFUSED:
-            state.refused(now)
+            state.record_refusal(now)
             return
         severe = report.failure in (
             retries.Failure.NOT_SENT,
             retries.Failure.STAGE_LOST,
         )
-        state.failed(now, severe)
+        state.record_failure(now, severe)
 
     def cancel(self, ticket_id, now):
         """Remove the waiting ticket of a caller that disconnected."""
         for target, queue in self.queues.items():
             ticket = queue.remove(ticket_id)
             if ticket is not None:
-                self.limits.give_back(ticket.account, ticket.cost)
+                self.limits.refund(ticket.account, ticket.cost)
                 return self._grant_waiting(target, now)
         return []
 
@@ -283,7 +283,7 @@
                 if now + ticket.cost * per_cost < ticket.deadline:
                     continue
                 queue.remove(ticket.id)
-                self.limits.give_back(ticket.account, ticket.cost)
+                self.limits.refund(ticket.account, ticket.cost)
                 error = exceptions.DeadlineUnreachable(
                     'the deadline can no longer be met after waiting',
                     retry_after=RETRY_AFTER_SECONDS,
--- a/packages/policy/ibisring_policy/loads.py
+++ b/packages/policy/ibisring_policy/loads.py
@@ -1,32 +1,35 @@
-"""What this router believes of each endpoint: load, speed and health."""
+"""A router's estimate of each endpoint: load, speed and failures."""
 
 __all__ = ['EndpointState', 'make_state']
 
 import math
 
-REPORT_HALF_LIFE = 4.0
+REPORT_HALF_LIFE_SECONDS = 4.0
 DEFAULT_TOKEN_SECONDS = 0.02
 LIMIT_DECREASE = 0.7
-EJECT_AFTER = 3
-EJECT_SECONDS = 2.0
-EJECT_CAP = 30.0
+EJECT_AFTER_FAILURES = 3
+BASE_EJECT_SECONDS = 2.0
+MAX_EJECT_SECONDS = 30.0
 RAMP_SECONDS = 5.0
-RAMP_FLOOR = 0.25
+MIN_RAMP = 0.25
 
 
 class EndpointState:
-    """The state of one endpoint as seen from this router.
+    """The state of one endpoint as estimated by this router.
 
     Attributes
     ----------
     own : int
-        Requests of this router that it works on now.
+        Requests of this router that the endpoint is running.
     limit : float
-        Adaptive concurrency, from 1 to the record's slots.
+        Adaptive concurrency limit, from 1 to the record's slots.
     token_seconds : float
-        Mean seconds a token (or a call, for a service) takes.
+        Mean seconds per token (per call, for a service).
+    measured : bool
+        Whether `token_seconds` comes from a measurement.
     ejected_until : float
-        No new work before this time, unless it is the last resort.
+        No new requests before this time unless the other endpoints don't
+        suffice.
     """
 
     __slots__ = (
@@ -62,8 +65,8 @@
         self.ready = True
         self.draining = False
 
-    def report(self, load, now):
-        """Take in a load report.
+    def record_load(self, load, now):
+        """Record a load report.
 
         Parameters
         ----------
@@ -74,94 +77,98 @@
         self.reported_at = now
         self.own_at_report = self.own
 
-    def others(self, now):
-        """Estimate the requests there that came from other routers.
+    def other_requests(self, now):
+        """Estimate the endpoint's requests that other routers sent.
 
-        A report lags.  What was ours when it came is taken off, and the
-        rest loses half its weight every `REPORT_HALF_LIFE`, so an endpoint
-        that stopped reporting is not shunned for ever.
+        Reports lag.  This router's requests at the time of the report are
+        subtracted, and the rest decays with a half-life of
+        `REPORT_HALF_LIFE_SECONDS`, so that an endpoint which stopped
+        reporting is not avoided for ever.
         """
-        seen = max(0, self.reported - self.own_at_report)
+        reported_others = max(0, self.reported - self.own_at_report)
         age = now - self.reported_at
-        if seen == 0:
+        if reported_others == 0:
             return 0.0
-        return seen * 0.5 ** (age / REPORT_HALF_LIFE)
+        return reported_others * 0.5 ** (age / REPORT_HALF_LIFE_SECONDS)
 
     def outstanding(self, now):
-        """Estimate all requests there, with what was sent since."""
-        return self.own + self.others(now)
+        """Estimate all requests at the endpoint, including recent ones."""
+        return self.own + self.other_requests(now)
 
-    def usable(self, now, part):
+    def free_slots(self, now, quota):
         """Return how many more requests may be sent.
 
         Parameters
         ----------
         now : float
-        part : int
-            This router's part of the slots.
+        quota : int
+            This router's quota of the slots.
 
         Notes
         -----
-        A joining endpoint gets work in growing measure: its caches are
-        empty, and all routers see it idle at the same moment.
+        The limit of a joining endpoint is ramped up: its caches are empty,
+        and all routers see it idle at the same moment.
         """
-        limit = max(1.0, self.limit * self._ramp(now))
-        return min(part, limit) - self.own
+        limit = max(1.0, self.limit * self._ramp_fraction(now))
+        return min(quota, limit) - self.own
 
-    def _ramp(self, now):
-        grown = (now - self.joined_at) / RAMP_SECONDS
-        return min(1.0, max(RAMP_FLOOR, grown))
+    def _ramp_fraction(self, now):
+        fraction = (now - self.joined_at) / RAMP_SECONDS
+        return min(1.0, max(MIN_RAMP, fraction))
 
-    def succeeded(self, now):
-        """Learn from an attempt that went well."""
+    def record_success(self, now):
+        """Record a successful attempt, which may raise the limit."""
         self.failures = 0
         self.ejections = 0
         if self.outstanding(now) >= self.limit - 1:
             self.limit = min(self.slots, self.limit + 1.0 / self.limit)
 
-    def refused(self, now):
-        """Learn that it is fuller than believed, or takes nothing at all.
+    def record_refusal(self, now):
+        """Record a refusal: the limit is too high, or nothing is accepted.
 
         An engine that lost its layers refuses everything until its status
-        is next read.  Chosen again and again, it would use up the retry
-        budget, and requests would fail beside engines that are free.  The
-        limit is cut from what it held with the one refused: this router's
-        part may be far below the limit, which would hide many cuts.
+        is next read.  If it were chosen again each time, it would use up the
+        retry budget, and requests would fail although other engines are
+        free.  The limit is reduced from this router's number of requests,
+        including the refused one, if that is lower: its quota may be
+        far below the limit, so that many reductions would have no effect.
         """
-        held = min(self.limit, self.own + 1)
-        self.limit = max(1.0, held * LIMIT_DECREASE)
-        self.failed(now, severe=False)
+        attempted = min(self.limit, self.own + 1)
+        self.limit = max(1.0, attempted * LIMIT_DECREASE)
+        self.record_failure(now, severe=False)
 
-    def failed(self, now, severe):
-        """Learn from a failure; eject after several, or one severe one.
+    def record_failure(self, now, severe):
+        """Record a failure; eject after several, or after a severe one.
 
         Parameters
         ----------
         now : float
         severe : bool
-            It could not be reached at all.
+            The endpoint was unreachable.
         """
         self.failures += 1
-        if not severe and self.failures < EJECT_AFTER:
+        if not severe and self.failures < EJECT_AFTER_FAILURES:
             return
-        seconds = min(EJECT_CAP, EJECT_SECONDS * 2**self.ejections)
+        seconds = min(
+            MAX_EJECT_SECONDS, BASE_EJECT_SECONDS * 2**self.ejections
+        )
         self.ejections += 1
         self.failures = 0
         self.ejected_until = now + seconds
 
     def is_ejected(self, now):
-        """Return whether it is left out for its failures."""
+        """Return whether the endpoint is ejected for its failures."""
         return now < self.ejected_until
 
 
 def make_state(slots, joined_at, token_seconds=DEFAULT_TOKEN_SECONDS):
-    """Make the state of an endpoint that just came into view.
+    """Make the state of an endpoint that just joined.
 
     Parameters
     ----------
     slots : int
     joined_at : float
-        Use ``-math.inf`` for one that is known to have been there.
+        ``-math.inf`` for an endpoint that was already running.
     token_seconds : float
     """
     return EndpointState(slots, joined_at, token_seconds)
--- a/packages/policy/ibisring_policy/placing.py
+++ b/packages/policy/ibisring_policy/placing.py
@@ -294,7 +294,7 @@
         candidates = []
         for endpoint in usable:
             state = self.states[endpoint.name]
-            free = state.usable(now, parts[endpoint.name])
+            free = state.free_slots(now, parts[endpoint.name])
             free -= kept.get(endpoint.name, 0)
             if free < 1.0:
                 continue
--- a/packages/policy/ibisring_policy/tests/test_dispatch.py
+++ b/packages/policy/ibisring_policy/tests/test_dispatch.py
@@ -216,13 +216,13 @@
     """
     dispatcher = builders.dispatcher()
     for state in dispatcher.states.values():
-        state.failed(0.0, severe=True)
+        state.record_failure(0.0, severe=True)
     assert granted(dispatcher.offer(builders.ticket('n'), 0.1)) == ['n']
 
 
 def test_ejected_endpoint_is_avoided_while_others_suffice():
     dispatcher = builders.dispatcher()
-    dispatcher.states['e0-0'].failed(0.0, severe=True)
+    dispatcher.states['e0-0'].record_failure(0.0, severe=True)
     for number in range(2):
         (grant,) = dispatcher.offer(builders.ticket(number), 0.1)
         assert grant.endpoints[0].name == 'e0-1'
@@ -250,28 +250,28 @@
             failure=failure,
             failed_endpoint='e0-0',
         )
-    assert refused == loads.EJECT_AFTER
+    assert refused == loads.EJECT_AFTER_FAILURES
 
 
 def test_refusals_reduce_the_limit_and_successes_restore_it():
     state = loads.make_state(8, 0.0)
     for _ in range(20):
-        state.refused(0.0)
+        state.record_refusal(0.0)
     assert state.limit == 1.0
     state.own = 8
     for _ in range(100):
-        state.succeeded(0.0)
+        state.record_success(0.0)
     assert state.limit == 8
 
 
 def test_own_requests_are_subtracted_from_the_reported_load():
     state = loads.make_state(8, -100.0)
     state.own = 3
-    state.report(Load(5, 0, 8), 10.0)
+    state.record_load(Load(5, 0, 8), 10.0)
     assert state.outstanding(10.0) == 5
     state.own = 5
     assert state.outstanding(10.0) == 7
-    assert state.outstanding(10.0 + loads.REPORT_HALF_LIFE) == 6
+    assert state.outstanding(10.0 + loads.REPORT_HALF_LIFE_SECONDS) == 6
 
 
 class Load:
