--- a/packages/policy/ibisring_policy/membership.py
+++ b/packages/policy/ibisring_policy/membership.py
@@ -1,4 +1,4 @@
-"""Which routers there are: the VM list proposes, direct probes decide."""
+"""Membership of routers: taken from the VM list, health from direct probes."""
 
 __all__ = ['Health', 'Peer', 'Membership', 'make_membership', 'fingers']
 
@@ -8,11 +8,11 @@
 import msgspec
 import xxhash
 
-DEAD_AFTER = 3
+DEAD_AFTER_MISSES = 3
 
 
 class Health(enum.StrEnum):
-    """What probes say of a peer."""
+    """Health of a peer according to probes."""
 
     UNTRIED = 'untried'
     ALIVE = 'alive'
@@ -21,10 +21,10 @@
 
 
 class Peer(msgspec.Struct):
-    """A peer as this router knows it.
+    """A peer and its last reported state.
 
-    `instance` changes with each start of its process; `memory_since` is
-    how many seconds its memory reaches back, as of `seen_at`.
+    `instance` changes with each start of its process; `uptime` is that
+    of its process in seconds, as of `seen_at`.
     """
 
     id: str
@@ -39,26 +39,27 @@
     leaving: bool = False
 
 
-def _point(name):
+def _ring_position(name):
     return xxhash.xxh64_intdigest(name.encode())
 
 
-def fingers(own_id, ids, most):
-    """Choose a bounded set of peers that still reaches everybody.
+def fingers(own_id, ids, limit):
+    """Choose a bounded set of peers through which all can be reached.
 
     Parameters
     ----------
     own_id : str
     ids : iterable of str
         All members; the own id may be among them.
-    most : int
+    limit : int
 
     Returns
     -------
     list of str
-        All others if they are few; else those at distances 1, 2, 4, ... on
-        a ring of hashed ids, so that what each tells its own peers has
-        reached all after about log2(n) hops [1]_.
+        All others if there are at most `limit`; else those at distances 1,
+        2, 4, ... on a ring of hashed ids, so that a message that each
+        router forwards to its own peers reaches all after about log2(n)
+        hops [1]_.
 
     References
     ----------
@@ -71,13 +72,13 @@
     ['b', 'c']
     """
     others = sorted(set(ids) - {own_id})
-    if len(others) <= most:
+    if len(others) <= limit:
         return others
-    ring = sorted([*others, own_id], key=_point)
+    ring = sorted([*others, own_id], key=_ring_position)
     start = ring.index(own_id)
     chosen = []
     distance = 1
-    while distance < len(ring) and len(chosen) < most:
+    while distance < len(ring) and len(chosen) < limit:
         chosen.append(ring[(start + distance) % len(ring)])
         distance *= 2
     return chosen
@@ -98,10 +99,10 @@
         self.most_peers = most_peers
         self.members = {}
         self.peers = {}
-        self.known = False
+        self.list_was_read = False
 
     def apply_vm_list(self, vms):
-        """Take in a VM list.
+        """Update the members and the probed peers from a VM list.
 
         Parameters
         ----------
@@ -110,28 +111,28 @@
         Notes
         -----
         The list lags: a new VM may have the address of an old one, and a
-        paused one may come back.  A member whose address changed starts
-        untried.  An empty list is taken for a fault of the list, since
+        paused VM may resume.  A member whose address changed is untried
+        again.  An empty list is considered invalid and ignored, because
         this router itself would have to be on it.
         """
         listed = {vm.id: vm for vm in vms if vm.id != self.own_id}
         if not vms:
             return
-        self.known = True
+        self.list_was_read = True
         self.members = listed
         chosen = fingers(self.own_id, listed, self.most_peers)
         peers = {}
         for name in chosen:
             vm = listed[name]
-            known = self.peers.get(name)
-            if known is None or known.address != vm.address:
-                known = Peer(name, vm.address, vm.failure_domain)
-            known.leaving = known.leaving or vm.state == 'leaving'
-            peers[name] = known
+            peer = self.peers.get(name)
+            if peer is None or peer.address != vm.address:
+                peer = Peer(name, vm.address, vm.failure_domain)
+            peer.leaving = peer.leaving or vm.state == 'leaving'
+            peers[name] = peer
         self.peers = peers
 
     def record_answer(self, name, answer, now):
-        """Take in a probe's answer.
+        """Record the answer to a probe.
 
         Parameters
         ----------
@@ -150,7 +151,7 @@
         if peer is None:
             return False
         if answer.router != name:
-            # Another VM took the address over: the one listed is gone.
+            # Another VM has this address now; the listed one is gone.
             return self._set_health(peer, Health.DEAD)
         peer.misses = 0
         peer.seen_at = now
@@ -161,12 +162,12 @@
         return self._set_health(peer, Health.ALIVE)
 
     def record_miss(self, name):
-        """Take in that a probe went unanswered; True if health changed."""
+        """Record an unanswered probe; True if the peer's health changed."""
         peer = self.peers.get(name)
         if peer is None:
             return False
         peer.misses += 1
-        if peer.misses >= DEAD_AFTER:
+        if peer.misses >= DEAD_AFTER_MISSES:
             return self._set_health(peer, Health.DEAD)
         return self._set_health(peer, Health.SUSPECT)
 
@@ -176,33 +177,33 @@
         return changed
 
     def addresses(self):
-        """Return the other members' addresses by id; None if never listed.
+        """Return the other members' addresses by id; None if unknown.
 
-        A router that never read the list must not take itself for the
-        only one: it would be a majority of itself.
+        A router that never read the list must not assume that it is the
+        only one, because it would be a majority on its own.
         """
-        if not self.known:
+        if not self.list_was_read:
             return None
         return {vm.id: vm.address for vm in self.members.values()}
 
     def alive_peers(self):
-        """Return the peers that answer."""
+        """Return the peers that answered the last probe."""
         return [p for p in self.peers.values() if p.health is Health.ALIVE]
 
     def peers_not_dead(self):
-        """Return the peers that are worth telling something."""
+        """Return the peers to which messages should be sent."""
         return [p for p in self.peers.values() if p.health is not Health.DEAD]
 
     def serving_routers(self):
-        """Return the ids of the routers that take callers, this one included.
+        """Return the ids of routers that accept callers, including this one.
 
-        Members that aren't probed from here count as alive.
+        Members that this router doesn't probe are assumed to be alive.
         """
         unprobed = set(self.members) - set(self.peers)
-        taking = [p.id for p in self.alive_peers() if not p.leaving]
-        return [self.own_id, *sorted(unprobed), *taking]
+        accepting = [p.id for p in self.alive_peers() if not p.leaving]
+        return [self.own_id, *sorted(unprobed), *accepting]
 
 
 def make_membership(own_id, most_peers):
-    """Make the membership of a router that knows nobody yet."""
+    """Make the membership of a router that has read no VM list yet."""
     return Membership(own_id, most_peers)
--- a/packages/policy/ibisring_policy/orders.py
+++ b/packages/policy/ibisring_policy/orders.py
@@ -1,4 +1,4 @@
-"""Orders that bring an engine from what it reports to what is wanted."""
+"""Orders that bring an engine from its reported to its desired state."""
 
 __all__ = [
     'OrderSpec',
@@ -11,15 +11,15 @@
 from ibisring_records import schemas
 import msgspec
 
-# No order is in flight for longer; the callers' timeout ensures it.
+# No order is in flight for longer; the timeouts of clients ensure it.
 ORDER_TIMEOUT_SECONDS = 2.0
-# A router that has not yet heard that an endpoint leaves may send work for
-# 3 s; one attempt more may be on its way by then.
+# A router may send requests for up to 3 s until it receives the record of a
+# leaving endpoint, and one more attempt may be in flight by then.
 UNLOAD_AFTER_SECONDS = 5.0
 
 
 class OrderSpec(msgspec.Struct):
-    """An order to give, before it gets its id and fencing number."""
+    """An order without its id and fencing number."""
 
     kind: schemas.OrderKind
     model: str
@@ -33,7 +33,7 @@
 
 
 def next_order(endpoint, status, configuration, idle=0.0):
-    """Return the next order for an engine, or None if all is as wanted.
+    """Return the next order for an engine, or None if none is due.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
     status : engines.EngineStatus
     configuration : configuration.Configuration
     idle : float
-        Seconds for which it has been seen leaving and without work.
+        Seconds for which it has been observed leaving and idle.
 
     Returns
     -------
@@ -50,14 +50,14 @@
     Notes
     -----
     An order may arrive late, after its sender lost the lease, at an engine
-    that ignores fencing numbers.  Orders therefore add first, and remove
-    only adapters that no record in force names; another version is loaded
-    only once nothing runs any more; and the status is read back each round,
-    so that whatever a late order did is put right.  An engine that leaves
-    gives up its layers only once no router can still send it work: a stage
-    that lost them in the middle of an answer would cut it.  One that
-    ignores fencing numbers is never told to: a holder paused right before
-    its send would empty an engine that serves again by then.
+    that ignores fencing numbers.  Orders therefore add adapters first and
+    remove only those that no active record names; another version is loaded
+    only when no request is running; and the status is read again in each
+    round, so that the effects of a late order are corrected.  A leaving
+    engine is unloaded only when no router can still send it requests,
+    because losing its layers would break off a running answer.  An engine
+    that ignores fencing numbers is never unloaded: the order of a holder
+    paused right before sending could reach it when it serves again.
     """
     spec = endpoint.spec
     version = configuration.versions.get(spec.version)
@@ -68,36 +68,40 @@
             return None
         if not status.loaded or idle < UNLOAD_AFTER_SECONDS:
             return None
-        return _wanted(schemas.OrderKind.UNLOAD, spec, version, [], 0.0)
-    held = (
+        return _make_order_spec(
+            schemas.OrderKind.UNLOAD, spec, version, [], 0.0
+        )
+    current = (
         status.model,
         status.version,
         status.first_layer,
         status.last_layer,
     )
-    wanted = (spec.model, spec.version, spec.first_layer, spec.last_layer)
-    if not status.loaded or held != wanted:
+    desired = (spec.model, spec.version, spec.first_layer, spec.last_layer)
+    if not status.loaded or current != desired:
         if status.loaded and status.load.running + status.load.waiting:
             return None
         layers = spec.last_layer - spec.first_layer + 1
-        return _wanted(
+        return _make_order_spec(
             schemas.OrderKind.LOAD,
             spec,
             version,
             sorted(spec.adapters),
             float(layers * version.megabytes_per_layer),
         )
-    adapters = _wanted_adapters(spec, status, configuration)
+    adapters = _needed_adapters(spec, status, configuration)
     if adapters != sorted(status.adapters):
-        return _wanted(
+        return _make_order_spec(
             schemas.OrderKind.ADAPTERS, spec, version, adapters, 0.0
         )
     if status.role and status.role != spec.role:
-        return _wanted(schemas.OrderKind.ROLE, spec, version, adapters, 0.0)
+        return _make_order_spec(
+            schemas.OrderKind.ROLE, spec, version, adapters, 0.0
+        )
     return None
 
 
-def _wanted_adapters(spec, status, configuration):
+def _needed_adapters(spec, status, configuration):
     named = set(configuration.adapters)
     for other in configuration.endpoints.values():
         named.update(other.spec.adapters)
@@ -105,7 +109,7 @@
     return sorted(kept | set(spec.adapters))
 
 
-def _wanted(kind, spec, version, adapters, megabytes):
+def _make_order_spec(kind, spec, version, adapters, megabytes):
     return OrderSpec(
         kind,
         spec.model,
@@ -120,7 +124,7 @@
 
 
 def may_send(endpoint, lease, now):
-    """Return whether an order may be sent now; ask right before sending.
+    """Return whether an order may be sent; check right before sending.
 
     Parameters
     ----------
@@ -130,9 +134,10 @@
 
     Notes
     -----
-    An engine that ignores fencing numbers would obey an order of the last
-    holder that is still under way.  A new holder lets the longest order
-    pass before its first one there, so that its own comes last.
+    An engine that ignores fencing numbers would execute an order of the
+    previous holder that is still in flight.  A new holder therefore waits
+    for the order timeout before its first order there, so that its own
+    order arrives last.
     """
     if not lease.holds(now):
         return False
@@ -141,57 +146,58 @@
     return now - lease.acquired_at >= ORDER_TIMEOUT_SECONDS
 
 
-class _Idle(msgspec.Struct):
+class _IdlePeriod(msgspec.Struct):
     spec: schemas.EndpointV2
     status: object
-    since: float
-    last: float
+    first_read_at: float
+    last_read_at: float
 
 
 class IdleTracker:
-    """Tells how long endpoints have been seen leaving and without work."""
+    """Measures for how long leaving endpoints have been observed idle."""
 
     def __init__(self):
-        self.seen = {}
+        self.idle_periods = {}
 
     def observe(self, endpoint, status, now):
-        """Take in the last status read; give the seconds idle so far.
+        """Record the last status read; return the idle seconds so far.
 
         Parameters
         ----------
         endpoint : configuration.Endpoint
         status : engines.EngineStatus
-            The same object again if none was read since.
+            The same object as before if none was read since.
         now : float
 
         Notes
         -----
-        Time passes only from one reading to the next.  An endpoint that
-        can't be read may be at work, so it is not idle meanwhile.
+        Only the time between the first and last reading counts.  An
+        endpoint whose status can't be read may be busy, so that time does
+        not count as idle.
         """
         spec = endpoint.spec
-        working = status.load.running + status.load.waiting
-        if working or spec.state is not schemas.EndpointState.LEAVING:
-            self.seen.pop(endpoint.name, None)
+        requests = status.load.running + status.load.waiting
+        if requests or spec.state is not schemas.EndpointState.LEAVING:
+            self.idle_periods.pop(endpoint.name, None)
             return 0.0
-        seen = self.seen.get(endpoint.name)
-        if seen is None or seen.spec != spec:
-            seen = _Idle(spec, status, now, now)
-            self.seen[endpoint.name] = seen
-        elif status is not seen.status:
-            seen.status = status
-            seen.last = now
-        return seen.last - seen.since
+        period = self.idle_periods.get(endpoint.name)
+        if period is None or period.spec != spec:
+            period = _IdlePeriod(spec, status, now, now)
+            self.idle_periods[endpoint.name] = period
+        elif status is not period.status:
+            period.status = status
+            period.last_read_at = now
+        return period.last_read_at - period.first_read_at
 
 
 class WeightFetchBudget:
-    """Keeps one share's loads within its part of the weight store's rate.
+    """Limits the loads of each share to its part of the weight store's rate.
 
     Parameters
     ----------
     shares : int
-        Each share's holder may use ``1 / shares`` of the rate, so that all
-        holders together keep the limit without talking to each other.
+        The holder of each share may use ``1 / shares`` of the rate, so that
+        all holders together respect the limit without coordination.
     """
 
     def __init__(self, shares):
@@ -199,7 +205,7 @@
         self.free_at = {}
 
     def take(self, share, megabytes, rate, now):
-        """Reserve a load; False if an earlier one is still being fetched."""
+        """Reserve a load; False while an earlier load is being fetched."""
         if now < self.free_at.get(share, now):
             return False
         self.free_at[share] = now + megabytes * self.shares / rate
--- a/packages/policy/ibisring_policy/tests/test_orders.py
+++ b/packages/policy/ibisring_policy/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders: what is sent to an engine, when, and what never is."""
+"""Orders: which are sent to an engine, when, and which never are."""
 
 from ibisring_backing import engines
 from ibisring_policy import leases
@@ -52,11 +52,11 @@
     )
 
 
-def test_other_version_is_loaded_only_when_nothing_runs():
-    """Symptom: an answer turned to nonsense during an upgrade.
+def test_other_version_is_loaded_only_on_an_idle_engine():
+    """Guards against a corrupt answer during an upgrade.
 
-    Sequence: a record names a new version while the old one answers.
-    Cause: the load order replaced the layers under running requests.
+    A load order must not replace the layers of running requests when a
+    record names a new version.
     """
     wanted = endpoint()
     busy = status('m@1', running=1)
@@ -71,17 +71,17 @@
 def test_adapter_is_removed_only_if_no_record_names_it():
     wanted = endpoint(adapters=('x',))
     current = active_configuration(wanted, adapters=['x', 'y'])
-    held = status(adapters=['y', 'z'])
-    order = orders.next_order(wanted, held, current)
+    reported = status(adapters=['y', 'z'])
+    order = orders.next_order(wanted, reported, current)
     assert order.adapters == ['x', 'y']
 
 
-def test_engine_without_fencing_waits_out_the_last_holder():
-    """Symptom: an engine unloads what was just loaded.
+def test_new_holder_waits_before_ordering_an_engine_without_fencing():
+    """Guards against a late order that undoes that of the new holder.
 
-    Sequence: a holder is paused between its check and its send; its lease
-    goes to another; its order arrives after the new holder's.
-    Cause: the engine ignores fencing numbers.
+    A holder is paused between its check and its send, another router
+    acquires the lease, and the engine, which ignores fencing numbers,
+    executes the old order last.
     """
     lease = leases.Lease('a', SECONDS)
     row = lease.next_row(leases.Intent.ACQUIRE)
@@ -93,7 +93,7 @@
     assert not orders.may_send(checking, lease, 100.0 + SECONDS)
 
 
-def test_loads_keep_to_the_share_of_the_weight_rate():
+def test_loads_are_limited_to_the_share_of_the_weight_rate():
     budget = orders.WeightFetchBudget(shares=4)
     assert budget.take(0, 100.0, 100.0, 0.0)
     assert not budget.take(0, 100.0, 100.0, 3.9)
@@ -101,29 +101,29 @@
     assert budget.take(0, 100.0, 100.0, 4.0)
 
 
-def idle_at(clock, wanted, read, *times):
-    """Return the idle seconds after a reading at each of some times."""
-    return [clock.observe(wanted, read(), now) for now in times][-1]
+def idle_at(tracker, wanted, read, *times):
+    """Return the idle seconds after status readings at the given times."""
+    return [tracker.observe(wanted, read(), now) for now in times][-1]
 
 
-def test_leaving_engine_is_unloaded_once_nobody_can_send_it_work():
-    """Symptom: an answer is cut while its endpoint is drained.
+def test_leaving_engine_is_unloaded_once_no_router_can_send_it_requests():
+    """Guards against cutting an answer while its endpoint is drained.
 
-    Sequence: a record says leaving; a router that has not heard of it yet
-    sends one more request; the engine is told to unload meanwhile.
-    Cause: the order went out as soon as the engine seemed idle.
+    A router that has not received the record of the leaving endpoint yet
+    may send one more request, so an engine that seems idle must not be
+    unloaded immediately.
     """
     wanted = endpoint(state=LEAVING, checks_fencing=True)
     current = active_configuration(wanted)
-    clock = orders.IdleTracker()
+    tracker = orders.IdleTracker()
     enough = orders.UNLOAD_AFTER_SECONDS
-    early = idle_at(clock, wanted, status, 10.0, 10.0 + enough - 0.1)
+    early = idle_at(tracker, wanted, status, 10.0, 10.0 + enough - 0.1)
     assert orders.next_order(wanted, status(), current, early) is None
-    # The late request arrives: the time starts anew.
-    clock.observe(wanted, status(running=1), 16.0)
-    again = idle_at(clock, wanted, status, 17.0, 17.0 + enough - 0.1)
+    # A late request arrives and restarts the idle time.
+    tracker.observe(wanted, status(running=1), 16.0)
+    again = idle_at(tracker, wanted, status, 17.0, 17.0 + enough - 0.1)
     assert orders.next_order(wanted, status(), current, again) is None
-    late = idle_at(clock, wanted, status, 17.0 + enough)
+    late = idle_at(tracker, wanted, status, 17.0 + enough)
     order = orders.next_order(wanted, status(), current, late)
     assert order.kind is schemas.OrderKind.UNLOAD
     empty = status(loaded=False)
@@ -131,11 +131,11 @@
 
 
 def test_engine_that_ignores_fencing_is_never_unloaded():
-    """Symptom: an engine is emptied while it serves.
+    """Guards against unloading an engine that serves again.
 
-    Sequence: a holder is paused before it sends an unload; the endpoint is
-    made to serve again and loaded by another holder; the first one wakes.
-    Cause: the engine does not look at the order's number.
+    A holder is paused before it sends an unload order; meanwhile another
+    holder loads the engine, which is to serve again.  The engine does not
+    check the fencing number and would execute the late order.
     """
     wanted = endpoint(state=LEAVING)
     long = 10 * orders.UNLOAD_AFTER_SECONDS
@@ -145,32 +145,32 @@
     )
 
 
-def test_engine_that_cannot_be_read_is_not_idle():
-    """Symptom: an engine that could not be reached was emptied at work.
+def test_engine_without_a_new_status_is_not_counted_as_idle():
+    """Guards against unloading a busy engine that can't be reached.
 
-    Sequence: its last status says idle; it takes work; no status is read.
-    Cause: the old reading was counted as if it went on.
+    Its last status was idle; the time since that reading must not count,
+    because the engine may have accepted requests.
     """
     wanted = endpoint(state=LEAVING)
-    clock = orders.IdleTracker()
+    tracker = orders.IdleTracker()
     last = status()
-    assert idle_at(clock, wanted, lambda: last, 0.0, 60.0, 120.0) == 0.0
+    assert idle_at(tracker, wanted, lambda: last, 0.0, 60.0, 120.0) == 0.0
 
 
 def test_endpoint_that_serves_again_is_not_unloaded():
-    clock = orders.IdleTracker()
-    idle_at(clock, endpoint(state=LEAVING), status, 0.0, 60.0)
-    assert clock.observe(endpoint(), status(), 61.0) == 0.0
-    assert clock.observe(endpoint(state=LEAVING), status(), 62.0) == 0.0
+    tracker = orders.IdleTracker()
+    idle_at(tracker, endpoint(state=LEAVING), status, 0.0, 60.0)
+    assert tracker.observe(endpoint(), status(), 61.0) == 0.0
+    assert tracker.observe(endpoint(state=LEAVING), status(), 62.0) == 0.0
 
 
-def test_role_is_ordered_where_an_engine_reports_another():
+def test_role_order_is_sent_if_the_engine_reports_another_role():
     wanted = endpoint(role=STANDBY)
     current = active_configuration(wanted)
-    held = status()
-    assert orders.next_order(wanted, held, current) is None
-    held.role = 'active'
-    order = orders.next_order(wanted, held, current)
+    reported = status()
+    assert orders.next_order(wanted, reported, current) is None
+    reported.role = 'active'
+    order = orders.next_order(wanted, reported, current)
     assert (order.kind, order.role) == (schemas.OrderKind.ROLE, 'standby')
-    held.role = order.role
-    assert orders.next_order(wanted, held, current) is None
+    reported.role = order.role
+    assert orders.next_order(wanted, reported, current) is None
