--- a/packages/policy/ibisring_policy/dispatch.py
+++ b/packages/policy/ibisring_policy/dispatch.py
@@ -273,7 +273,7 @@
         """Reject tickets that can't meet their deadline; grant others."""
         for target in self.queues:
             # Without arrivals too, so that the demand sent to peers decays.
-            self.placer.parts_of_all(target, now)
+            self.placer.quotas_of_target(target, now)
         results = []
         for target, queue in self.queues.items():
             per_cost = 0.0
--- a/packages/policy/ibisring_policy/placing.py
+++ b/packages/policy/ibisring_policy/placing.py
@@ -1,7 +1,7 @@
-"""Choosing the endpoints of a ticket, as far as this router may use them.
+"""Placement of tickets on the endpoints that this router may use.
 
-`Placer` keeps what is believed of each endpoint, and works out which may be
-used, how many of their slots are this router's, and who goes where.
+`Placer` holds the state of each endpoint, determines which endpoints are
+usable and this router's quota of their slots, and chooses among them.
 """
 
 __all__ = ['Placer', 'make_placer']
@@ -15,87 +15,93 @@
 from ibisring_policy import subsets
 from ibisring_records import schemas
 
-MOST_RESERVED = 0.9
-PARTS_SECONDS = 0.25
-# A request goes to a slow chain only if it could take so much longer there.
+MAX_RESERVED_SHARE = 0.9
+QUOTA_REFRESH_SECONDS = 0.25
+# A slow chain is used only if the request could take this many times longer
+# there than expected.
 SPARE_TIME_FACTOR = 1.5
-# Nor if it is slower by more than this: accelerators differ so much, but a
-# degraded link differs by far more, and deadlines are often generous.
-MOST_SLOWDOWN = 3.0
+# A chain slower than the fastest one by more than this factor is not used.
+# Accelerators differ by this much; a degraded link is far slower, and could
+# still meet the long deadlines that callers often set.
+MAX_SLOWDOWN = 3.0
 
 
 class Placer:
-    """Endpoint states and the choice among them.
+    """Holds endpoint states and chooses endpoints for tickets.
 
     Parameters
     ----------
     rng : random.Random
     router_id : str
-    in_hand : callable
-        Returns how many requests of a pool run or wait here.
+    count_outstanding : callable
+        Returns how many requests of a pool run or wait at this router.
     """
 
-    def __init__(self, rng, router_id, in_hand):
+    def __init__(self, rng, router_id, count_outstanding):
         self.rng = rng
         self.router_id = router_id
-        self.in_hand = in_hand
+        self.count_outstanding = count_outstanding
         self.configuration = None
         self.states = {}
         self.targets = {}
         self.shares = shares.make_shares(router_id)
-        self.parts = {}
+        self.quotas = {}
 
     def configure(self, configuration, now):
-        """Take a configuration into force.
+        """Apply a configuration.
 
         Notes
         -----
-        An endpoint that is leaving or gone gets no new work from here on;
-        what it runs goes on.  An engine that joins, or whose record names
-        other layers than before, gets work only once its status says that
-        it holds them: it would run the wrong ones, which shows as words
-        that make no sense.
+        An endpoint that is leaving or removed gets no new requests; running
+        ones continue.  An engine that joins, or whose record names other
+        layers than before, gets requests only once its status reports these
+        layers as loaded; otherwise it would run the wrong layers and return
+        corrupt text.
         """
-        before = self.configuration
+        previous = self.configuration
         self.configuration = configuration
         for name, endpoint in configuration.endpoints.items():
-            old = before.endpoints.get(name) if before is not None else None
-            self._configure_endpoint(name, old, endpoint, before, now)
+            old = (
+                previous.endpoints.get(name) if previous is not None else None
+            )
+            self._configure_endpoint(name, old, endpoint, previous, now)
         for name in set(self.states) - set(configuration.endpoints):
             if self.states[name].own == 0:
                 del self.states[name]
         self.targets.clear()
-        self.parts.clear()
+        self.quotas.clear()
 
-    def _configure_endpoint(self, name, old, new, before, now):
-        first = before is None
+    def _configure_endpoint(self, name, old, new, previous, now):
+        is_first = previous is None
         state = self.states.get(name)
         if state is None:
-            joined = -math.inf if first else now
-            state = loads.make_state(new.spec.slots, joined)
+            joined_at = -math.inf if is_first else now
+            state = loads.make_state(new.spec.slots, joined_at)
             self.states[name] = state
-            state.ready = first or bool(new.spec.service)
-        elif old is not None and _layers_of(old) != _layers_of(new):
+            state.ready = is_first or bool(new.spec.service)
+        elif old is not None and _required_layers(old) != _required_layers(
+            new
+        ):
             state.ready = False
         if state.slots != new.spec.slots:
             state.slots = new.spec.slots
             state.limit = float(new.spec.slots)
 
     def observe_status(self, endpoint, ready, draining):
-        """Take in whether an endpoint can take work at all.
+        """Record whether an endpoint accepts requests.
 
         Parameters
         ----------
         endpoint : configuration.Endpoint
-            The record against which it was found ready.  If another has
-            come into force meanwhile, that says nothing.
+            The record with which its status was compared.  The status is
+            ignored if the active record requires other layers.
         ready, draining : bool
         """
         state = self.states.get(endpoint.name)
         current = self.configuration.endpoints.get(endpoint.name)
         if state is None or current is None:
             return
-        if _layers_of(current) == _layers_of(endpoint):
+        if _required_layers(current) == _required_layers(endpoint):
             state.ready = ready
             state.draining = draining
 
@@ -106,67 +112,68 @@
             self.targets[target] = found
         return found
 
-    def parts_of_all(self, target, now):
-        """Return this router's part of each endpoint's slots.
+    def quotas_of_target(self, target, now):
+        """Return this router's quota of each endpoint's slots.
 
-        They change with what routers are asked for, and are worked out
-        anew a few times a second.
+        The quotas follow the demand at the routers and are recomputed a few
+        times per second.
         """
-        known = self.parts.get(target)
-        if known is not None and now - known[0] < PARTS_SECONDS:
-            return known[1]
+        cached = self.quotas.get(target)
+        if cached is not None and now - cached[0] < QUOTA_REFRESH_SECONDS:
+            return cached[1]
         pool = target.pool()
-        self.shares.observe(pool, self.in_hand(pool), now)
+        self.shares.observe(pool, self.count_outstanding(pool), now)
         weights = self.shares.weights(pool)
-        alike = collections.defaultdict(dict)
-        for endpoint in self._all_of(target):
-            slots = alike[subsets.kind_of(endpoint)]
+        slots_by_group = collections.defaultdict(dict)
+        for endpoint in self._serving_endpoints(target):
+            slots = slots_by_group[subsets.group_key(endpoint)]
             slots[endpoint.name] = endpoint.spec.slots
-        found = self.shares.parts(
-            pool, self._endpoints(target), alike, weights
+        found = self.shares.quotas(
+            pool, self._endpoints(target), slots_by_group, weights
         )
-        self.parts[target] = (now, found)
+        self.quotas[target] = (now, found)
         return found
 
-    def _parts_of(self, target, usable, now):
-        """Return the parts of those endpoints that may be used.
+    def _usable_quotas(self, target, usable, now):
+        """Return the quotas of the usable endpoints.
 
-        Where none of a layer range is this router's, for it is small or
-        the others have failed, each of them may get one request: an engine
-        that waits for its turn is better than none.
+        If this router has no quota in a layer range, because the range is
+        small or its other endpoints have failed, each endpoint of the range
+        may get one request: waiting in the engine's queue is better than
+        having no chain.
         """
-        parts = self.parts_of_all(target, now)
-        reached = {
-            subsets.kind_of(endpoint)
+        quotas = self.quotas_of_target(target, now)
+        groups_with_quota = {
+            subsets.group_key(endpoint)
             for endpoint in usable
-            if parts[endpoint.name]
+            if quotas[endpoint.name]
         }
         return {
             endpoint.name: (
-                parts[endpoint.name]
-                if subsets.kind_of(endpoint) in reached
+                quotas[endpoint.name]
+                if subsets.group_key(endpoint) in groups_with_quota
                 else 1
             )
             for endpoint in usable
         }
 
-    def _kept(self, target, usable, parts, reserved):
-        """Return the slots kept for more urgent requests, by endpoint."""
+    def _reserved_slots(self, target, usable, quotas, reserved):
+        """Return the slots reserved for more urgent requests, by endpoint."""
         if not reserved:
             return {}
         ranges = {}
         for endpoint in usable:
-            group = ranges.setdefault(subsets.kind_of(endpoint), [])
+            group = ranges.setdefault(subsets.group_key(endpoint), [])
             group.append(endpoint.name)
-        kept = {}
+        reserved_slots = {}
         for names in ranges.values():
             names.sort(key=lambda name: self.states[name].token_seconds)
-            pairs = [(name, parts[name]) for name in names]
-            kept.update(shares.kept_for_urgent(pairs, reserved))
-        return kept
+            pairs = [(name, quotas[name]) for name in names]
+            reserved_slots.update(shares.reserved_slots(pairs, reserved))
+        return reserved_slots
 
-    def _all_of(self, target):
-        """Return every endpoint of a target that is serving."""
+    def _serving_endpoints(self, target):
+        """Return all serving endpoints of a target."""
         if target.service:
             every = self.configuration.service_endpoints(target.service)
         else:
@@ -177,36 +184,40 @@
         return [each for each in every if each.spec.state is serving]
 
     def _find_endpoints(self, target):
-        all_of_it = self._all_of(target)
+        serving = self._serving_endpoints(target)
         return [
             endpoint
-            for endpoint in subsets.choose_subset(self.router_id, all_of_it)
+            for endpoint in subsets.choose_subset(self.router_id, serving)
             if not target.adapter or target.adapter in endpoint.spec.adapters
         ]
 
-    def _takes_work(self, name):
+    def _accepts_requests(self, name):
         state = self.states[name]
         return state.ready and not state.draining
 
-    def _open(self, target, avoid, now):
-        """Return the endpoints that may be used, ejected ones last.
+    def _usable_endpoints(self, target, avoid, now):
+        """Return the endpoints to use, with ejected ones only if needed.
 
-        On a bad day every endpoint has failed lately.  Leaving all of them
-        out would turn a bad day into an outage, so when the healthy ones
-        don't suffice, the ejected ones are used as well.
+        If many endpoints have failed recently, excluding all of them would
+        cause an outage, so when the healthy ones don't cover the target, the
+        ejected ones are used as well.
         """
-        able = [e for e in self._endpoints(target) if self._takes_work(e.name)]
+        accepting = [
+            e
+            for e in self._endpoints(target)
+            if self._accepts_requests(e.name)
+        ]
         healthy = [
             e
-            for e in able
+            for e in accepting
             if e.name not in avoid and not self.states[e.name].is_ejected(now)
         ]
         if self._covers(target, healthy):
-            return _without_spare_standbys(healthy)
-        allowed = [e for e in able if e.name not in avoid]
-        if self._covers(target, allowed):
-            return allowed
-        return able
+            return _without_redundant_standbys(healthy)
+        not_avoided = [e for e in accepting if e.name not in avoid]
+        if self._covers(target, not_avoided):
+            return not_avoided
+        return accepting
 
     def _covers(self, target, endpoints):
         if target.service:
@@ -214,51 +225,53 @@
         spans = [
             (e.spec.first_layer, e.spec.last_layer, 1.0) for e in endpoints
         ]
-        return routing.bottleneck(spans, self._layers(target)) > 0.0
+        return routing.bottleneck(spans, self._layer_count(target)) > 0.0
 
-    def _layers(self, target):
+    def _layer_count(self, target):
         model = self.configuration.models.get(target.model)
         return model.layers if model is not None else 0
 
     def capacity(self, target, now):
-        """Return how many requests the target works on at once."""
-        usable = self._open(target, frozenset(), now)
-        parts = self._parts_of(target, usable, now)
+        """Return how many requests the target can run concurrently."""
+        usable = self._usable_endpoints(target, frozenset(), now)
+        quotas = self._usable_quotas(target, usable, now)
         spans = []
         for endpoint in usable:
-            free = min(parts[endpoint.name], self.states[endpoint.name].limit)
+            slots = min(
+                quotas[endpoint.name], self.states[endpoint.name].limit
+            )
             spec = endpoint.spec
-            spans.append((spec.first_layer, spec.last_layer, free))
+            spans.append((spec.first_layer, spec.last_layer, slots))
         if target.service:
-            return sum(free for _, _, free in spans)
-        return routing.bottleneck(spans, self._layers(target))
+            return sum(slots for _, _, slots in spans)
+        return routing.bottleneck(spans, self._layer_count(target))
 
-    def _reserved(self, rank):
-        """Return the share kept for classes more urgent than a rank."""
+    def _reserved_share(self, rank):
+        """Return the share reserved for classes more urgent than a rank."""
         classes = self.configuration.priorities.values()
-        kept = sum(c.reserved_share for c in classes if c.rank < rank)
-        return min(MOST_RESERVED, kept)
+        reserved = sum(c.reserved_share for c in classes if c.rank < rank)
+        return min(MAX_RESERVED_SHARE, reserved)
 
-    def _fastest(self, endpoints):
-        """Return the pace to believe of an endpoint that was never measured.
+    def _default_token_seconds(self, endpoints):
+        """Return the time per token to assume for an unmeasured endpoint.
 
-        An endpoint believed to be slow is never chosen, so it is never
-        measured, and stands idle for ever.  The fastest pace known makes
-        sure that it is tried.
+        This is the lowest measured time, so that the endpoint is tried.  If
+        it were assumed to be slow, it might never be chosen, so that it
+        would never be measured and would stay idle.
         """
         states = [self.states[endpoint.name] for endpoint in endpoints]
         measured = [s.token_seconds for s in states if s.measured]
         return min(measured, default=loads.DEFAULT_TOKEN_SECONDS)
 
     def place(self, ticket, now, contended=False):
-        """Choose endpoints that can take a ticket now.
+        """Choose endpoints that can run a ticket now.
 
         Parameters
         ----------
         ticket : admission.Ticket
         now : float
         contended : bool
-            Others wait as well.
+            Whether other tickets are waiting.
 
         Returns
         -------
@@ -269,53 +282,55 @@
         if ticket.target.service:
             chosen = routing.choose_one(candidates, self.rng)
             return None if chosen is None else [chosen.endpoint]
-        layers = self._layers(ticket.target)
+        layers = self._layer_count(ticket.target)
         fastest = routing.choose_chain(candidates, layers, self.rng)
         if fastest is None:
             return None
         chain = None
         if not contended:
-            slowest = min(
-                _slowest_pace(ticket, now),
-                MOST_SLOWDOWN * routing.pace(fastest),
+            max_token_seconds = min(
+                _max_token_seconds(ticket, now),
+                MAX_SLOWDOWN * routing.chain_token_seconds(fastest),
             )
-            chain = routing.choose_unhurried_chain(
-                candidates, layers, self.rng, slowest
+            chain = routing.choose_idle_chain(
+                candidates, layers, self.rng, max_token_seconds
             )
         return [c.endpoint for c in chain or fastest]
 
     def _candidates(self, ticket, now):
-        """Return the endpoints that can take a ticket now."""
-        reserved = self._reserved(ticket.rank)
-        usable = self._open(ticket.target, ticket.avoid, now)
-        parts = self._parts_of(ticket.target, usable, now)
-        kept = self._kept(ticket.target, usable, parts, reserved)
-        fastest = self._fastest(usable)
+        """Return the endpoints that can run a ticket now."""
+        reserved = self._reserved_share(ticket.rank)
+        usable = self._usable_endpoints(ticket.target, ticket.avoid, now)
+        quotas = self._usable_quotas(ticket.target, usable, now)
+        reserved_slots = self._reserved_slots(
+            ticket.target, usable, quotas, reserved
+        )
+        default = self._default_token_seconds(usable)
         candidates = []
         for endpoint in usable:
             state = self.states[endpoint.name]
-            free = state.free_slots(now, parts[endpoint.name])
-            free -= kept.get(endpoint.name, 0)
+            free = state.free_slots(now, quotas[endpoint.name])
+            free -= reserved_slots.get(endpoint.name, 0)
             if free < 1.0:
                 continue
             candidates.append(
                 routing.Candidate(
                     endpoint,
                     state.outstanding(now) / state.limit,
-                    state.token_seconds if state.measured else fastest,
+                    state.token_seconds if state.measured else default,
                 )
             )
         return candidates
 
 
-def _slowest_pace(ticket, now):
-    """Return the most seconds a token that leave a ticket time to spare."""
+def _max_token_seconds(ticket, now):
+    """Return the maximum seconds per token that leave spare time."""
     end = min(ticket.deadline, ticket.wanted_by)
     return (end - now) / max(1.0, ticket.cost) / SPARE_TIME_FACTOR
 
 
-def _layers_of(endpoint):
-    """Return what an engine must hold to serve its record."""
+def _required_layers(endpoint):
+    """Return the layers and adapters that an endpoint's record requires."""
     spec = endpoint.spec
     return (
         spec.model,
@@ -326,20 +341,20 @@
     )
 
 
-def _without_spare_standbys(endpoints):
-    """Leave out the standbys of layers that an active endpoint holds."""
+def _without_redundant_standbys(endpoints):
+    """Exclude standbys of layer ranges that have an active endpoint."""
 
     def is_active(endpoint):
         return endpoint.spec.role is schemas.Role.ACTIVE
 
-    active = {subsets.kind_of(each) for each in endpoints if is_active(each)}
+    active = {subsets.group_key(each) for each in endpoints if is_active(each)}
     return [
         each
         for each in endpoints
-        if is_active(each) or subsets.kind_of(each) not in active
+        if is_active(each) or subsets.group_key(each) not in active
     ]
 
 
-def make_placer(rng, router_id, in_hand):
+def make_placer(rng, router_id, count_outstanding):
     """Make the placer of a router."""
-    return Placer(rng, router_id, in_hand)
+    return Placer(rng, router_id, count_outstanding)
--- a/packages/policy/ibisring_policy/routing.py
+++ b/packages/policy/ibisring_policy/routing.py
@@ -1,27 +1,27 @@
-"""Choosing an endpoint for a call, or a chain of them for a model."""
+"""Choice of an endpoint for a service call, or of a chain for a model."""
 
 __all__ = [
     'Candidate',
     'link_seconds',
     'choose_one',
     'choose_chain',
-    'choose_unhurried_chain',
-    'pace',
+    'choose_idle_chain',
+    'chain_token_seconds',
     'bottleneck',
 ]
 
 from ibisring_records import configuration
 import msgspec
 
-SAMPLE = 6
+SAMPLE_SIZE = 6
 SAME_DOMAIN_SECONDS = 0.0002
 OTHER_DOMAIN_SECONDS = 0.0008
 
 
 class Candidate(msgspec.Struct):
-    """An endpoint that may take a request now.
+    """An endpoint that can run a request now.
 
-    `load` is its outstanding requests over its limit.
+    `load` is the ratio of its outstanding requests to its limit.
     """
 
     endpoint: configuration.Endpoint
@@ -29,10 +29,10 @@
     token_seconds: float
 
     def cost(self):
-        """Return the expected seconds a token, growing with the load."""
+        """Return the expected seconds per token, which grow with the load."""
         return self.token_seconds * (1.0 + self.load)
 
-    def fullness(self):
+    def load_cost(self):
         """Return a cost that grows with the load alone."""
         return 1.0 + self.load
 
@@ -40,8 +40,8 @@
 def link_seconds(first, second):
     """Return the seconds that activations take between two endpoints.
 
-    By failure domain; what a slow link adds is learned as its endpoints'
-    pace.
+    It depends on their failure domains only; the delay of a slow link is
+    measured as part of its endpoints' time per token.
 
     Parameters
     ----------
@@ -66,9 +66,9 @@
 
     Notes
     -----
-    All routers see the same lagged reports.  If each took the least loaded
-    endpoint they would all take the same one; two random choices spread
-    the requests and still avoid the full ones [1]_.
+    All routers see the same delayed load reports.  If each chose the least
+    loaded endpoint, they would all choose the same one; the better of two
+    random ones spreads the requests and still avoids full endpoints [1]_.
 
     References
     ----------
@@ -85,11 +85,11 @@
     return min(picked, key=Candidate.cost)
 
 
-def _by_first_layer(candidates, rng, sample):
-    """Group candidates by range, and sample each group.
+def _by_first_layer(candidates, rng, sample_size):
+    """Group candidates by layer range, and draw a sample of each group.
 
-    In random order: equal ones must not always be taken in that of names,
-    or every router fills the same endpoint of an idle site.
+    The sample is in random order: if equal candidates were ordered by name,
+    every router would fill the same endpoint of an idle site.
     """
     groups = {}
     for candidate in candidates:
@@ -98,24 +98,26 @@
         groups.setdefault(key, []).append(candidate)
     starting = {}
     for (first, _), group in sorted(groups.items()):
-        drawn = rng.sample(group, min(sample, len(group)))
+        drawn = rng.sample(group, min(sample_size, len(group)))
         starting.setdefault(first, []).extend(drawn)
     return starting
 
 
-def choose_chain(candidates, layers, rng, sample=SAMPLE, cost=Candidate.cost):
+def choose_chain(
+    candidates, layers, rng, sample_size=SAMPLE_SIZE, cost=Candidate.cost
+):
     """Choose a chain that covers layers 0 to ``layers - 1``.
 
     Parameters
     ----------
     candidates : list of Candidate
-        Engines of one model version that can take a request now.
+        Engines of one model version that can run a request now.
     layers : int
     rng : random.Random
-    sample : int
+    sample_size : int
         Candidates drawn for each layer range.
     cost : callable
-        Returns what a candidate adds to the path.
+        Returns the cost that a candidate adds to the path.
 
     Returns
     -------
@@ -124,76 +126,78 @@
 
     Notes
     -----
-    A shortest path from layer 0 to the last, over a random sample for each
-    range: the sample keeps routers from herding and bounds the work, the
-    path weighs stage time and link time together, since links differ a
-    hundredfold.
+    This is a shortest path from layer 0 to the last layer over a random
+    sample of each range.  The sample keeps routers from all choosing the
+    same engines and bounds the computation; the path includes link times as
+    well as stage times, because links differ by a factor of a hundred.
     """
-    starting = _by_first_layer(candidates, rng, sample)
-    # best[layer]: (cost, chain) pairs whose chain ends before `layer`.
-    best = {0: [(0.0, ())]}
+    starting = _by_first_layer(candidates, rng, sample_size)
+    # paths_to[layer]: (cost, chain) pairs whose chain ends before `layer`.
+    paths_to = {0: [(0.0, ())]}
     for layer in sorted(starting):
-        reached = best.get(layer)
-        if reached is None:
+        paths = paths_to.get(layer)
+        if paths is None:
             continue
         for candidate in starting[layer]:
-            own = cost(candidate)
-            shortest = min(
-                (_extend(path, candidate, own) for path in reached),
+            added_cost = cost(candidate)
+            best_path = min(
+                (_extend(path, candidate, added_cost) for path in paths),
                 key=lambda path: path[0],
             )
             after = candidate.endpoint.spec.last_layer + 1
-            best.setdefault(after, []).append(shortest)
-    found = best.get(layers)
-    if not found or layers == 0:
+            paths_to.setdefault(after, []).append(best_path)
+    complete = paths_to.get(layers)
+    if not complete or layers == 0:
         return None
-    return list(min(found, key=lambda pair: pair[0])[1])
+    return list(min(complete, key=lambda pair: pair[0])[1])
 
 
-def choose_unhurried_chain(candidates, layers, rng, slowest):
-    """Choose a free chain for a request that need not go to the fastest.
+def choose_idle_chain(candidates, layers, rng, max_token_seconds):
+    """Choose the least loaded chain that is fast enough for a request.
 
     Parameters
     ----------
     candidates : list of Candidate
     layers : int
     rng : random.Random
-    slowest : float
-        Most seconds a token that the request can do with.
+    max_token_seconds : float
+        Maximum seconds per token that the request allows.
 
     Returns
     -------
     list of Candidate or None
-        None if the chain found is slower; then choose the fastest.
+        None if the chain is slower; the fastest should be used then.
 
     Notes
     -----
-    If every request goes to the fastest engines while all are idle, the
-    slots left when a long or urgent one comes are on the slow ones, and it
-    is late on an idle system.  A request with time to spare takes the
-    emptiest engines, whatever their pace.
+    If every request used the fastest engines, only slots of slow engines
+    would be free when a long or urgent request arrives, and it would be late
+    on a nearly idle system.  A request with spare time therefore uses the
+    least loaded engines, regardless of their speed.
     """
-    chain = choose_chain(candidates, layers, rng, cost=Candidate.fullness)
-    if chain is None or pace(chain) > slowest:
+    chain = choose_chain(candidates, layers, rng, cost=Candidate.load_cost)
+    if chain is None or chain_token_seconds(chain) > max_token_seconds:
         return None
     return chain
 
 
-def pace(chain):
-    """Return the expected seconds a token of a list of candidates."""
+def chain_token_seconds(chain):
+    """Return the expected seconds per token of a list of candidates."""
     return sum(candidate.token_seconds for candidate in chain)
 
 
-def _extend(path, candidate, own):
+def _extend(path, candidate, added_cost):
     cost, chain = path
-    cost += own
+    cost += added_cost
     if chain:
         cost += link_seconds(chain[-1].endpoint, candidate.endpoint)
     return cost, chain + (candidate,)
 
 
 def bottleneck(endpoints, layers):
-    """Return the least total of `slots` over any layer, 0 if one is missing.
+    """Return the minimum over all layers of their total slots.
+
+    It is 0 if a layer has no endpoint.
 
     Parameters
     ----------
--- a/packages/policy/ibisring_policy/shares.py
+++ b/packages/policy/ibisring_policy/shares.py
@@ -1,11 +1,12 @@
-"""This router's part of each endpoint's slots.
+"""A router's quota of each endpoint's slots.
 
-Reports of load lag, so routers that see the same idle endpoint all send it
-work.  Each keeps to a part of the slots instead; the parts sum to the slots
-where routers agree on who they are and on what each was asked for.
+Load reports lag, so all routers that see an endpoint as idle would send it
+requests.  Instead each router limits itself to a quota of the slots; the
+quotas sum to the slots if the routers agree on who they are and on the
+demand at each.
 """
 
-__all__ = ['parts_of_range', 'kept_for_urgent', 'FleetShares', 'make_shares']
+__all__ = ['range_quotas', 'reserved_slots', 'FleetShares', 'make_shares']
 
 import functools
 import math
@@ -14,22 +15,22 @@
 import xxhash
 
 EVEN_SHARE = 0.45
-DEMAND_HALF_LIFE = 10.0
+DEMAND_HALF_LIFE_SECONDS = 10.0
 HASH_RANGE = 2.0**64
-LINES_KEPT = 256
+MAX_CACHED_SLOT_ORDERS = 256
 
 
 def _hash(endpoint, router):
     return xxhash.xxh64_intdigest(f'{endpoint}\0{router}'.encode())
 
 
-def parts_of_range(slots, pool, weights, own_id):
-    """Return a router's whole part of each endpoint of a layer range.
+def range_quotas(slots, pool, weights, own_id):
+    """Return a router's integer quota of each endpoint of a layer range.
 
     Parameters
     ----------
     slots : dict of str to int
-        By endpoint: all of the range.
+        By endpoint, for all endpoints of the range.
     pool : str
         Model version or service.
     weights : dict of str to float
@@ -42,12 +43,14 @@
 
     Notes
     -----
-    All slots of the range are laid on a line, the endpoints by turns; each
-    router takes a stretch of its weight, from one whole number to another
-    (systematic sampling [1]_).  The routers' order is the same in every
-    range.  A chain takes a slot in each range, so what counts is a router's
-    least sum over ranges: rounded at each endpoint by itself the sums
-    differ, and a sixth of the slots of nine engines is out of reach.
+    All slots of the range are arranged in one sequence in which the
+    endpoints alternate.  Each router gets a section proportional to its
+    weight, with both ends rounded down (systematic sampling [1]_); the
+    order of the routers is the same in every range.  A chain takes a slot
+    in each range, so a router is limited by its smallest sum of quotas over
+    the ranges.  If quotas were rounded at each endpoint separately, these
+    sums would differ, and a sixth of the slots of nine engines could not be
+    used.
 
     References
     ----------
@@ -57,47 +60,49 @@
     Examples
     --------
     >>> WEIGHTS = {'a': 0.25, 'b': 0.75}
-    >>> parts = parts_of_range({'e': 4, 'f': 4}, 'm', WEIGHTS, 'a')
-    >>> sum(parts.values())
+    >>> quotas = range_quotas({'e': 4, 'f': 4}, 'm', WEIGHTS, 'a')
+    >>> sum(quotas.values())
     2
     """
-    line = _line(tuple(sorted(slots.items())))
-    parts = dict.fromkeys(slots, 0)
+    slot_order = _interleaved_slots(tuple(sorted(slots.items())))
+    quotas = dict.fromkeys(slots, 0)
     before = 0.0
     for router in sorted(weights, key=lambda name: _hash(pool, name)):
-        after = before + len(line) * weights[router]
+        after = before + len(slot_order) * weights[router]
         if router == own_id:
-            for endpoint in line[_whole(before) : _whole(after)]:
-                parts[endpoint] += 1
+            for endpoint in slot_order[
+                _round_down(before) : _round_down(after)
+            ]:
+                quotas[endpoint] += 1
         before = after
-    return parts
+    return quotas
 
 
-@functools.lru_cache(maxsize=LINES_KEPT)
-def _line(slots):
-    """Return an endpoint's name for each slot, spread evenly."""
-    places = [
-        ((turn + 0.5) / count, xxhash.xxh64_intdigest(name.encode()), name)
+@functools.lru_cache(maxsize=MAX_CACHED_SLOT_ORDERS)
+def _interleaved_slots(slots):
+    """Return the endpoint's name for each slot, evenly interleaved."""
+    positions = [
+        ((slot + 0.5) / count, xxhash.xxh64_intdigest(name.encode()), name)
         for name, count in slots
-        for turn in range(count)
+        for slot in range(count)
     ]
-    return [name for _, _, name in sorted(places)]
+    return [name for _, _, name in sorted(positions)]
 
 
-def _whole(value):
-    """Round down, but not for an error in the last digits."""
+def _round_down(value):
+    """Round down, tolerating floating-point errors."""
     return math.floor(value + 1e-6)
 
 
-def kept_for_urgent(parts, reserved):
+def reserved_slots(quotas, reserved):
     """Choose the slots that only more urgent requests may use.
 
     Parameters
     ----------
-    parts : list of tuple of (str, int)
-        Endpoint and this router's part, the fastest first.
+    quotas : list of tuple of (str, int)
+        Endpoint and this router's quota, the fastest endpoint first.
     reserved : float
-        Share of all parts.
+        Fraction of the sum of quotas.
 
     Returns
     -------
@@ -105,21 +110,21 @@
 
     Notes
     -----
-    They are kept at the fastest endpoints: a short urgent request that gets
-    the slowest chain misses its bound however free that chain is.  One slot
-    at least is left to the others.
+    Slots are reserved at the fastest endpoints, because a short urgent
+    request misses its latency bound on the slowest chain even if that chain
+    is idle.  At least one slot is left to other requests.
     """
-    total = sum(part for _, part in parts)
-    left = min(round(reserved * total), total - 1)
-    kept = {}
-    for name, part in parts:
-        kept[name] = max(0, min(part, left))
-        left -= kept[name]
-    return kept
+    total = sum(quota for _, quota in quotas)
+    remaining = min(round(reserved * total), total - 1)
+    reserved_by_endpoint = {}
+    for name, quota in quotas:
+        reserved_by_endpoint[name] = max(0, min(quota, remaining))
+        remaining -= reserved_by_endpoint[name]
+    return reserved_by_endpoint
 
 
 class FleetShares:
-    """Who shares the endpoints, and how much each is asked for.
+    """Routers that share the endpoints, and the demand at each.
 
     Parameters
     ----------
@@ -129,101 +134,106 @@
     def __init__(self, own_id):
         self.own_id = own_id
         self.routers = (own_id,)
-        self.heard = {}
-        self.own = {}
+        self.peer_demands = {}
+        self.own_demands = {}
 
     def observe(self, pool, count, now):
-        """Take in how many requests run or wait here, for an average."""
-        old, before = self.own.get(pool, (float(count), now))
-        weight = 0.5 ** ((now - before) / DEMAND_HALF_LIFE)
-        self.own[pool] = (count + weight * (old - count), now)
+        """Record the number of requests that run or wait at this router."""
+        old, before = self.own_demands.get(pool, (float(count), now))
+        weight = 0.5 ** ((now - before) / DEMAND_HALF_LIFE_SECONDS)
+        self.own_demands[pool] = (count + weight * (old - count), now)
 
     def demands(self):
-        """Return what is told to peers: average requests in hand, by pool."""
-        found = {
-            pool: round(value, 1) for pool, (value, _) in self.own.items()
+        """Return the demand sent to peers: average requests, by pool."""
+        averages = {
+            pool: round(value, 1)
+            for pool, (value, _) in self.own_demands.items()
         }
-        return {pool: value for pool, value in found.items() if value}
+        return {pool: value for pool, value in averages.items() if value}
 
     def set_routers(self, routers):
-        """Say which routers take callers; others' demands are forgotten."""
+        """Set the routers that accept callers; drop demands of others."""
         self.routers = tuple(sorted({*routers, self.own_id}))
-        self.heard = {
+        self.peer_demands = {
             name: demands
-            for name, demands in self.heard.items()
+            for name, demands in self.peer_demands.items()
             if name in self.routers
         }
 
     def receive_demands(self, router, demands):
-        """Take in what a peer has in hand.
+        """Record the demand of a peer.
 
         Parameters
         ----------
         router : str
         demands : dict of str to float
-            Requests that run or wait there, by service or model version.
+            Average number of requests that run or wait at the peer, by
+            service or model version.
         """
-        self.heard[router] = demands
+        self.peer_demands[router] = demands
 
     def weights(self, pool):
         """Return the share of each router in a pool's slots; they sum to 1.
 
-        A part is split evenly, so that a router that was idle can begin at
-        once.  One that was not heard is taken for an average one.
+        A fraction `EVEN_SHARE` is split evenly, so that an idle router can
+        start immediately.  A router that has reported no demand is assumed
+        to have the average one.
         """
         demands = {
-            name: told.get(pool, 0.0) for name, told in self.heard.items()
+            name: reported.get(pool, 0.0)
+            for name, reported in self.peer_demands.items()
         }
-        demands[self.own_id], _ = self.own.get(pool, (0.0, 0.0))
+        demands[self.own_id], _ = self.own_demands.get(pool, (0.0, 0.0))
         mean = sum(demands.values()) / len(demands)
-        every = {name: demands.get(name, mean) for name in self.routers}
-        total = sum(every.values())
-        even = 1.0 / len(every)
+        assumed = {name: demands.get(name, mean) for name in self.routers}
+        total = sum(assumed.values())
+        even = 1.0 / len(assumed)
         if total <= 0.0:
-            return dict.fromkeys(every, even)
+            return dict.fromkeys(assumed, even)
         return {
             name: EVEN_SHARE * even + (1.0 - EVEN_SHARE) * demand / total
-            for name, demand in every.items()
+            for name, demand in assumed.items()
         }
 
-    def parts(self, pool, endpoints, alike, weights):
-        """Return this router's part of each endpoint's slots, by name.
+    def quotas(self, pool, endpoints, slots_by_group, weights):
+        """Return this router's quota of each endpoint's slots, by name.
 
         Parameters
         ----------
         pool : str
         endpoints : list of configuration.Endpoint
-            Those that this router uses.
-        alike : dict of tuple to dict of str to int
+            The endpoints that this router uses.
+        slots_by_group : dict of tuple to dict of str to int
             The slots of all endpoints of each service or layer range.
         weights : dict of str to float
         """
-        of_ranges = {
-            kind: parts_of_range(slots, pool, weights, self.own_id)
-            for kind, slots in alike.items()
+        group_quotas = {
+            group: range_quotas(slots, pool, weights, self.own_id)
+            for group, slots in slots_by_group.items()
             if len(slots) <= subsets.SUBSET_SIZE
         }
-        found = {}
+        quotas = {}
         for endpoint in endpoints:
-            kind = subsets.kind_of(endpoint)
-            if kind in of_ranges:
-                found[endpoint.name] = of_ranges[kind][endpoint.name]
+            group = subsets.group_key(endpoint)
+            if group in group_quotas:
+                quotas[endpoint.name] = group_quotas[group][endpoint.name]
             else:
-                size = len(alike[kind])
-                found[endpoint.name] = self._part(endpoint, size, weights)
-        return found
+                size = len(slots_by_group[group])
+                quotas[endpoint.name] = self._quota(endpoint, size, weights)
+        return quotas
 
-    def _part(self, endpoint, size, weights):
-        """Round a part where only some routers use an endpoint.
+    def _quota(self, endpoint, size, weights):
+        """Return the quota of an endpoint that only some routers use.
 
-        Nobody knows all of them, so it is rounded by hash.
+        No router knows all users of the endpoint, so the quota is rounded
+        at an offset given by a hash.
         """
         slots = endpoint.spec.slots
         quota = slots * weights[self.own_id] * size / subsets.SUBSET_SIZE
         begin = _hash(endpoint.name, self.own_id) / HASH_RANGE
-        return _whole(begin + quota) - _whole(begin)
+        return _round_down(begin + quota) - _round_down(begin)
 
 
 def make_shares(own_id):
-    """Make the shares of a router that knows no other."""
+    """Make the shares of a router that knows no other router yet."""
     return FleetShares(own_id)
--- a/packages/policy/ibisring_policy/subsets.py
+++ b/packages/policy/ibisring_policy/subsets.py
@@ -1,18 +1,18 @@
-"""Which endpoints a router uses when there are many alike."""
+"""Choice of the endpoints a router uses among many interchangeable ones."""
 
-__all__ = ['kind_of', 'choose_subset']
+__all__ = ['group_key', 'choose_subset']
 
 import xxhash
 
 SUBSET_SIZE = 16
 
 
-def _rank(router_id, name):
+def _hash(router_id, name):
     return xxhash.xxh64_intdigest(f'{router_id}\0{name}'.encode())
 
 
-def kind_of(endpoint):
-    """Return what endpoints that can take each other's place have in common.
+def group_key(endpoint):
+    """Return the key that is equal for interchangeable endpoints.
 
     Returns
     -------
@@ -30,14 +30,14 @@
 
 
 def choose_subset(router_id, endpoints, size=SUBSET_SIZE):
-    """Choose at most so many endpoints of each kind for a router.
+    """Choose at most `size` endpoints of each group for a router.
 
     Parameters
     ----------
     router_id : str
     endpoints : iterable of configuration.Endpoint
     size : int
-        For each service, or layer range of a model version.
+        Maximum for each service, or layer range of a model version.
 
     Returns
     -------
@@ -46,21 +46,22 @@
 
     Notes
     -----
-    1,200 endpoints can't be watched by 380 routers: each would spend its
-    whole control budget on it.  A router needs only as many as give it
-    choice.  The rest are spread over the other routers by hash, and an
-    endpoint that joins or leaves changes few choices.  Those that are
-    leaving are not chosen, so that the subset stays full.
+    If each of 380 routers polled all of 1,200 endpoints, polling would use
+    up its control traffic budget, and a router needs only enough endpoints
+    to choose from.  The subsets are spread over the routers by hash, so that
+    an endpoint that joins or leaves changes few subsets.  Leaving endpoints
+    don't count towards the size, so that the subset of serving ones stays
+    full.
     """
     groups = {}
     for endpoint in endpoints:
-        key = (kind_of(endpoint), endpoint.spec.state)
+        key = (group_key(endpoint), endpoint.spec.state)
         groups.setdefault(key, []).append(endpoint)
     chosen = set()
     for group in groups.values():
         names = sorted(
             (endpoint.name for endpoint in group),
-            key=lambda name: _rank(router_id, name),
+            key=lambda name: _hash(router_id, name),
         )
         chosen.update(names[:size])
     return [e for e in endpoints if e.name in chosen]
--- a/packages/policy/ibisring_policy/tests/test_shares.py
+++ b/packages/policy/ibisring_policy/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Routers' parts of the slots: they sum, follow demand, and keep urgency."""
+"""Slot quotas: their sums, their response to demand, and reserved slots."""
 
 import collections
 
@@ -12,46 +12,46 @@
 POOL = 'm@1'
 
 
-def fleet(count, in_hand=()):
-    """Make the shares of routers that heard each other."""
+def make_fleet(count, demands=()):
+    """Make the shares of routers that know each other's demands."""
     names = [f'r{number}' for number in range(count)]
     made = {name: shares.make_shares(name) for name in names}
-    for name, demand in zip(names, in_hand):
+    for name, demand in zip(names, demands):
         made[name].observe(POOL, demand, 0.0)
-    for hearer in made.values():
-        hearer.set_routers(names)
+    for receiver in made.values():
+        receiver.set_routers(names)
         for name in names:
-            if name != hearer.own_id:
-                hearer.receive_demands(name, made[name].demands())
+            if name != receiver.own_id:
+                receiver.receive_demands(name, made[name].demands())
     return made
 
 
-def parts_of(router, chosen, endpoints):
-    """Return a router's parts of some of the endpoints."""
-    alike = collections.defaultdict(dict)
+def quotas_of(router, chosen, endpoints):
+    """Return a router's quotas of some of the endpoints."""
+    slots_by_group = collections.defaultdict(dict)
     for endpoint in endpoints:
-        slots = alike[subsets.kind_of(endpoint)]
+        slots = slots_by_group[subsets.group_key(endpoint)]
         slots[endpoint.name] = endpoint.spec.slots
-    return router.parts(POOL, chosen, alike, router.weights(POOL))
+    return router.quotas(POOL, chosen, slots_by_group, router.weights(POOL))
 
 
 @given(
     demands=strategies.lists(strategies.integers(0, 500), min_size=1),
     slots=strategies.integers(1, 64),
 )
-def test_parts_sum_to_the_slots_whatever_the_demands(demands, slots):
-    """Symptom: engines queue while others of their kind are idle.
+def test_quotas_sum_to_the_slots_for_any_demands(demands, slots):
+    """Guards against queues at some engines while equal ones are idle.
 
-    Sequence: six routers see the same reports, each a while late.
-    Cause: each sends to every engine as if it were the only router.
+    Routers see the same delayed load reports; without quotas each would
+    send requests to every engine as if it were the only router.
     """
     endpoints = [
         builders.endpoint(f'e{number}', model='m', slots=slots)
         for number in range(4)
     ]
     total = collections.Counter()
-    for router in fleet(len(demands), demands).values():
-        total.update(parts_of(router, endpoints, endpoints))
+    for router in make_fleet(len(demands), demands).values():
+        total.update(quotas_of(router, endpoints, endpoints))
     assert all(total[endpoint.name] == slots for endpoint in endpoints)
 
 
@@ -62,11 +62,11 @@
     slots=strategies.lists(strategies.integers(1, 16), min_size=1, max_size=8),
 )
 def test_chains_of_all_routers_use_every_slot(demands, slots):
-    """Symptom: six routers refuse a ninth of what one router serves.
+    """Guards against slots that no chain can use.
 
-    Sequence: an evenly loaded site of nine engines at 0.8 of its capacity.
-    Cause: parts were rounded at each engine by itself; a router had slots
-    left in one layer range and none in another, and no chain.
+    With quotas rounded at each engine separately, a router had slots left in
+    one layer range and none in another; six routers on nine engines at 0.8
+    of capacity rejected a ninth of what a single router serves.
     """
     endpoints = [
         builders.endpoint(f'e{first}-{n}', first, first, model='m', slots=each)
@@ -74,30 +74,30 @@
         for n, each in enumerate(slots)
     ]
     chains = 0
-    for router in fleet(len(demands), demands).values():
-        held = collections.Counter({0: 0, 1: 0, 2: 0})
-        parts = parts_of(router, endpoints, endpoints)
+    for router in make_fleet(len(demands), demands).values():
+        range_slots = collections.Counter({0: 0, 1: 0, 2: 0})
+        quotas = quotas_of(router, endpoints, endpoints)
         for endpoint in endpoints:
-            held[endpoint.spec.first_layer] += parts[endpoint.name]
-        chains += min(held.values())
+            range_slots[endpoint.spec.first_layer] += quotas[endpoint.name]
+        chains += min(range_slots.values())
     assert chains == sum(slots)
 
 
 def test_busy_router_gets_the_slots_of_idle_ones():
-    """The balancer may send nearly all to one router."""
+    """The load balancer may send nearly all requests to one router."""
     endpoints = [builders.endpoint(f'e{n}', slots=8) for n in range(13)]
-    routers = fleet(6, [100, 0, 0, 0, 0, 0])
+    routers = make_fleet(6, [100, 0, 0, 0, 0, 0])
     total = 8 * 13
     even = shares.EVEN_SHARE * total / 6
-    busy = sum(parts_of(routers['r0'], endpoints, endpoints).values())
-    idle = sum(parts_of(routers['r1'], endpoints, endpoints).values())
+    busy = sum(quotas_of(routers['r0'], endpoints, endpoints).values())
+    idle = sum(quotas_of(routers['r1'], endpoints, endpoints).values())
     assert abs(busy - (even + (1.0 - shares.EVEN_SHARE) * total)) <= 1
     assert busy > total / 2
     assert abs(idle - even) <= 1
     assert idle >= 1
 
 
-def test_router_that_was_not_heard_counts_as_an_average_one():
+def test_router_without_reported_demand_counts_as_an_average_one():
     router = shares.make_shares('r0')
     router.set_routers(['r0', 'r1', 'r2'])
     router.observe(POOL, 30, 0.0)
@@ -107,18 +107,18 @@
     assert weights['r1'] < weights['r2'] < weights['r0']
 
 
-def test_told_demand_is_an_average():
-    """One burst must not move slots that are taken back in a second."""
+def test_reported_demand_is_an_average():
+    """A burst must not move slots for a second and back again."""
     router = shares.make_shares('r0')
     router.observe(POOL, 0, 0.0)
     router.observe(POOL, 100, 0.1)
     assert router.demands()[POOL] < 2.0
-    router.observe(POOL, 100, 0.1 + shares.DEMAND_HALF_LIFE)
+    router.observe(POOL, 100, 0.1 + shares.DEMAND_HALF_LIFE_SECONDS)
     assert 45.0 < router.demands()[POOL] < 55.0
 
 
 def test_many_routers_on_many_endpoints_use_about_all_slots():
-    """380 routers, each with a subset: no endpoint is known to all."""
+    """Each of 380 routers uses a subset, so none knows all endpoints."""
     endpoints = [
         builders.endpoint(f'e{number}', model='m', slots=8)
         for number in range(400)
@@ -129,12 +129,12 @@
         router = shares.make_shares(name)
         router.set_routers(names)
         chosen = subsets.choose_subset(name, endpoints)
-        total += sum(parts_of(router, chosen, endpoints).values())
+        total += sum(quotas_of(router, chosen, endpoints).values())
     assert 0.95 < total / (8 * len(endpoints)) < 1.05
 
 
-def test_urgent_slots_are_kept_at_the_fastest_and_one_is_left():
-    parts = [('fast', 1), ('middle', 2), ('slow', 2)]
-    kept = shares.kept_for_urgent(parts, 0.4)
-    assert kept == {'fast': 1, 'middle': 1, 'slow': 0}
-    assert shares.kept_for_urgent([('only', 1)], 0.9) == {'only': 0}
+def test_slots_are_reserved_at_the_fastest_endpoints_and_one_is_left():
+    quotas = [('fast', 1), ('middle', 2), ('slow', 2)]
+    reserved = shares.reserved_slots(quotas, 0.4)
+    assert reserved == {'fast': 1, 'middle': 1, 'slow': 0}
+    assert shares.reserved_slots([('only', 1)], 0.9) == {'only': 0}
