--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -1,6 +1,6 @@
-"""The actor that holds which endpoints and which configuration are known."""
+"""Actor that maintains the endpoints and the routing table in force."""
 
-__all__ = ['Read', 'Failed', 'Confirmed', 'Learnt', 'Tick', 'Directory']
+__all__ = ['Read', 'Failed', 'Confirmed', 'HoldingReport', 'Tick', 'Directory']
 
 import logging
 
@@ -19,11 +19,11 @@
 
 
 class Read(msgspec.Struct):
-    """Something was read; `whole` if it was all there is.
+    """Result of a read; `whole` if the items are the complete table.
 
-    `origin` tells the store from a peer; `position` is the store's version
-    that the items are of, `changed` that of the newest one, `age` the seconds
-    since the store was read, `waited` those that the call took.
+    `origin` names the store or a peer router; `position` is the store version
+    of the items, `changed` that of the newest one, `age` the seconds since
+    the store was read, `waited` the seconds that the call took.
     """
 
     items: list
@@ -37,12 +37,12 @@
 
 
 class Confirmed(msgspec.Struct):
-    """A router that reads the store says that nothing newer is there.
+    """Versions that a router which reads the store has confirmed as current.
 
-    `table` is the routing table's version and `table_position` the store's up
-    to which it has read that, `changed` the store's at which endpoints last
-    changed and `position` the one up to which it has read these, `age` the
-    seconds since.
+    `table` is the version of the routing table, `table_position` the store
+    version up to which the table was read; `changed` is the store version at
+    which endpoints last changed, `position` the one up to which they were
+    read; `age` is the seconds since these reads.
     """
 
     table: int
@@ -53,15 +53,15 @@
 
 
 class Failed(msgspec.Struct):
-    """The store could not be read; `waited` seconds were spent on it."""
+    """A read of the store failed after `waited` seconds."""
 
     why: str
     is_table: bool = False
     waited: float = 0.0
 
 
-class Learnt(msgspec.Struct):
-    """An engine said what it holds, while the store is away."""
+class HoldingReport(msgspec.Struct):
+    """Layers that an engine reported directly during a store outage."""
 
     id: str
     started: int
@@ -69,21 +69,21 @@
 
 
 class Tick(msgspec.Struct):
-    """Some time has passed: what did not come back is dropped."""
+    """Periodic message: expires endpoints missing since an outage."""
 
 
 class Directory(actors.MessageActor):
-    """Applies what is read to the view, as new snapshots.
+    """Applies read results to the view as new snapshots.
 
     Parameters
     ----------
     view : view.View
     metrics : metrics.Metrics
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     on_change : callable
         Called after endpoints have changed.
     on_table : callable
-        Called with a routing table that is in force from now on.
+        Called with each routing table that comes into force.
     """
 
     def __init__(self, view, metrics, connections, on_change, on_table):
@@ -101,14 +101,14 @@
             Read: self.on_read,
             Failed: self.on_failed,
             Confirmed: self.on_confirmed,
-            Learnt: self.on_learnt,
+            HoldingReport: self.on_holding_report,
             Tick: self.on_tick,
         }
 
     def on_failed(self, message):
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         now = self.view.clock()
-        if self.presence.failed(now):
+        if self.presence.read_failed(now):
             self._replace(store_lost_at=now)
             self.metrics.count('store_lost')
         source = _source(message)
@@ -117,12 +117,12 @@
             self._log_touch('store_lost', message, now, why=message.why)
 
     def on_read(self, message):
-        """Apply what was read."""
+        """Apply the result of a read."""
         now = self.view.clock()
         if message.origin == STORE:
             self._store_answered(message, now)
         if message.is_table:
-            self._replace(table_at=now - message.age)
+            self._replace(table_read_at=now - message.age)
             for table in message.items:
                 self._apply_table(table, message.origin)
             known = max(self.view.snapshot.table_position, message.position)
@@ -131,23 +131,24 @@
         self._apply_endpoints(message, now)
 
     def on_confirmed(self, message):
-        """Note that what is known is not older than what a reader knows."""
+        """Update read times and versions that a reader has confirmed."""
         before = self.view.snapshot
         read_at = self.view.clock() - message.age
         if message.table == before.version:
             known = max(before.table_position, message.table_position)
             self._replace(
-                table_at=max(before.table_at, read_at), table_position=known
+                table_read_at=max(before.table_read_at, read_at),
+                table_position=known,
             )
         if message.changed <= before.position:
             self._replace(
-                endpoints_at=max(before.endpoints_at, read_at),
+                endpoints_read_at=max(before.endpoints_read_at, read_at),
                 position=max(before.position, message.position),
             )
 
     def _store_answered(self, message, now):
         self.view.lease_lost_at = None
-        if self.presence.succeeded(now):
+        if self.presence.read_succeeded(now):
             self._replace(store_lost_at=None)
         source = _source(message)
         if source in self.lost:
@@ -155,13 +156,17 @@
             self._log_touch('store_regained', message, now)
 
     def _log_touch(self, name, message, now, **facts):
-        """Log that one of the store's tables is lost or regained.
+        """Log that the store stopped or resumed serving one of its tables.
 
-        The two are followed by calls of their own, so that one may be read
-        long before the other.
+        Each table is followed by separate calls, so that one may be read
+        again long before the other.
         """
         before = self.view.snapshot
-        read_at = before.table_at if message.is_table else before.endpoints_at
+        read_at = (
+            before.table_read_at
+            if message.is_table
+            else before.endpoints_read_at
+        )
         logs.event(
             LOG,
             name,
@@ -174,29 +179,31 @@
     def on_tick(self, message):
         """Drop endpoints that did not come back after an outage.
 
-        Messages from the store may be seconds apart; until the next one a
-        request would go to an endpoint that has left.
+        Answers of the store may be seconds apart; without this, requests
+        would go to an endpoint that has left until the next answer.
         """
         now = self.view.clock()
         if self.presence.expire(now):
             before = self.view.snapshot
-            self._publish(now, 'time', before.endpoints_at, before)
+            self._publish(now, 'time', before.endpoints_read_at, before)
 
-    def on_learnt(self, message):
-        """Believe an engine of itself while its entry can't change."""
+    def on_holding_report(self, message):
+        """Apply an engine's own report while its store entry can't change."""
         if self.view.store_lost_at is None:
             return
-        if self.presence.amend(message.id, message.started, message.holding):
+        if self.presence.update_holding(
+            message.id, message.started, message.holding
+        ):
             before = self.view.snapshot
             self._publish(
-                self.view.clock(), 'engine', before.endpoints_at, before
+                self.view.clock(), 'engine', before.endpoints_read_at, before
             )
 
     def _apply_table(self, table, origin):
-        """Put a table in force unless it is older than the present one.
+        """Put a table in force unless it is older than the current one.
 
-        A store that answers with an old state, or a peer that is behind,
-        would otherwise bring back a key or a route that was taken away.
+        A store that serves stale state, or a peer that is behind, would
+        otherwise restore a revoked key or a removed route.
         """
         before = self.view.snapshot
         if before.index is not None and table.version <= before.version:
@@ -215,12 +222,12 @@
         self.on_table(table)
 
     def _apply_endpoints(self, message, now):
-        """Put endpoints in force unless something newer is known.
+        """Put endpoints in force unless a newer version is known.
 
-        A process that stood still may wake with an answer from before, when
-        another router has told it more; an endpoint that is leaving would
-        seem to stay.  What is left out comes again: the next call goes on
-        from the older position.
+        A process that was suspended may resume with an old answer after
+        another router has sent newer state; an endpoint that is leaving
+        would then seem to stay.  Nothing is lost by ignoring the answer: the
+        next call continues from the older position.
         """
         if message.position < self.view.snapshot.position:
             logs.event(
@@ -232,36 +239,36 @@
             )
             return
         if message.origin != STORE:
-            self.presence.served_another(now - message.age)
+            self.presence.store_served_peer(now - message.age)
             if message.position <= self.view.snapshot.position:
                 return
         if message.whole:
-            # Another router reads the store, so what is missing there has
-            # left.
+            # A peer has read the store, so endpoints missing from its list
+            # have left.
             sure = message.origin != STORE
-            changed = self.presence.replace(message.items, now, sure=sure)
+            changed = self.presence.replace(message.items, now, confirmed=sure)
         else:
             changed = self._apply_each(message.items, now)
         changed |= self.presence.expire(now)
         if not changed and self.view.snapshot.endpoints_known:
             self._replace(
-                endpoints_at=now - message.age, position=message.position
+                endpoints_read_at=now - message.age, position=message.position
             )
             return
         self._publish(now, message.origin, now - message.age, message)
 
     def _apply_each(self, items, now):
-        """Put or remove endpoints; True if something is new."""
+        """Add or remove endpoints; True if anything changed."""
         changed = False
         for item in items:
-            if isinstance(item, ports.Gone):
+            if isinstance(item, ports.Removed):
                 changed |= self.presence.remove(item.id, now)
             else:
                 changed |= self.presence.put(item, now)
         return changed
 
     def _publish(self, now, origin, read_at, known):
-        """Put the endpoints in force.
+        """Put the usable endpoints in force as a new snapshot.
 
         Parameters
         ----------
@@ -270,7 +277,7 @@
         read_at : float
             When the store was read.
         known : Read or view.Snapshot
-            Has the store's version.
+            Provides the store versions.
         """
         before = self.view.snapshot
         usable = self.presence.usable()
@@ -281,29 +288,29 @@
         self._replace(
             endpoints=usable,
             by_service=by_service,
-            endpoints_at=read_at,
+            endpoints_read_at=read_at,
             position=known.position,
             changed=known.changed or known.position,
             endpoints_known=True,
             known_since=before.known_since if before.endpoints_known else now,
         )
-        self.connections.forget(usable)
+        self.connections.close_except(usable)
         with self.view.lock:
-            self.view.book.keep_only(usable)
+            self.view.estimates.retain(usable)
             self.view.limits.keep_only(usable)
             for endpoint in usable.values():
-                self.view.limits.started(endpoint.id, endpoint.started)
-                belief = self.view.book.of(endpoint.id)
+                self.view.limits.record_start(endpoint.id, endpoint.started)
+                belief = self.view.estimates.get(endpoint.id)
                 if belief.started != endpoint.started:
                     belief.started = endpoint.started
-                    self.view.book.reached(endpoint.id, now)
+                    self.view.estimates.note_reachable(endpoint.id, now)
         logs.event(
             LOG,
             'endpoints',
             origin=origin,
             usable=len(usable),
             ready=sum(len(group) for group in by_service.values()),
-            changed=self.presence.take_changes(),
+            changed=self.presence.drain_changes(),
         )
         self.on_change()
 
@@ -317,5 +324,5 @@
 
 
 def _source(message):
-    """Name what a message is about, for log lines."""
+    """Return the name of a message's table for log lines."""
     return 'table' if message.is_table else 'endpoints'
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -1,4 +1,4 @@
-"""What routers tell each other, and whom they know."""
+"""Known peer routers, and fetching state from them when behind."""
 
 __all__ = ['State', 'Peers', 'make_peers']
 
@@ -12,38 +12,38 @@
 from ibisring_gateway import directory as directory_module
 from ibisring_gateway import ports
 from ibisring_policy.gateway import catchup
-from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
+from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_records import exceptions
 from ibisring_records import routing
 from ibisring_router import logs
 from ibisring_web import calls
 
 LOG = logging.getLogger(__name__)
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWED = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 SECOND_MS = 1000.0
 STATE_PATH = '/state'
 TABLE = 'table'
 ENDPOINTS = 'endpoints'
 CONNECT_TIMEOUT = 0.15
 READ_TIMEOUT = 0.3
-# The list of routers is read at the start, again a little later, and when
-# nobody was heard for so many seconds; routers that come later make
-# themselves known.
+# Seconds between reads of the list of routers: after the first read, and
+# while no peer has been heard from.  Routers that start later announce
+# themselves by gossip.
 LIST_AGAIN = 3.0
 ALONE_AFTER = 12.0
 TICK = 0.1
 
 
 class State(msgspec.Struct):
-    """What a router knows, with the ages of both parts in seconds.
+    """Routing state that one router serves to another.
 
-    `table` is left out where the asker has that version already.  `position`
-    and `table_position` are the store's versions up to which endpoints and
-    table are known.
+    `table` is None if the requester has that version already.  `position`
+    and `table_position` are the store versions up to which endpoints and
+    table are known; ages are in seconds.
     """
 
     version: int
@@ -56,11 +56,11 @@
 
 
 class Peers:
-    """Asks other routers while the store does not answer this one.
+    """Keeps track of peer routers and fetches state from them.
 
-    The store may turn away some routers and serve the others.  One that is
-    turned away would go on with a revoked key or a leaving endpoint, while
-    a peer next to it knows better.
+    The store may refuse some routers and serve others.  A refused router
+    would keep accepting a revoked key, or keep using an endpoint that is
+    leaving, although its peers have newer state.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
     tell : callable
         Takes `directory.Read` messages.
     followers : following.Followers
-        Told what other routers say of the store.
+        Notified of what other routers report of the store.
     """
 
     def __init__(self, settings, view, rows, tell, followers):
@@ -85,10 +85,10 @@
         self.stopped = threading.Event()
         self.list_at = 0.0
         self.written = False
-        self.hearing = hearing.make_hearing(
+        self.hearing = peerreports.make_peer_reports(
             settings.router_id, settings.failure_domain, view.clock()
         )
-        self.current_role = sharing.Role.TOLD
+        self.current_role = storereaders.Role.TOLD
         self.catchup = catchup.make_catchup()
         self.thread = threading.Thread(target=self.run, daemon=True)
 
@@ -98,11 +98,11 @@
         return self
 
     def stop(self):
-        """Let the thread end."""
+        """Ask the thread to exit."""
         self.stopped.set()
 
     def state_for(self, version):
-        """Give what this router knows to one that has a version."""
+        """Return the state for a peer that has a version of the table."""
         now = self.view.clock()
         snapshot = self.view.snapshot
         table = None
@@ -110,8 +110,8 @@
             table = snapshot.index.table
         return State(
             version=snapshot.version,
-            table_age=now - snapshot.table_at,
-            endpoints_age=now - snapshot.endpoints_at,
+            table_age=now - snapshot.table_read_at,
+            endpoints_age=now - snapshot.endpoints_read_at,
             position=snapshot.position,
             table=table,
             endpoints=list(snapshot.endpoints.values()),
@@ -119,20 +119,22 @@
         )
 
     def heard(self, heard, address, lost_ms=None):
-        """Note a datagram of another router.
+        """Record a datagram of another router.
 
         Parameters
         ----------
-        heard : hearing.Heard
+        heard : peerreports.PeerReport
         address : str
         lost_ms : int or None
-            Milliseconds since it last lost the store, None if it never has.
+            Milliseconds since it last lost the store, None if never.
         """
-        before = self.hearing.take(heard)
+        before = self.hearing.receive(heard)
         if lost_ms is not None:
-            self.followers.told_of_loss(heard.at - lost_ms / SECOND_MS)
-        was_lost = before is not None and before.touch is LOST
-        if was_lost and heard.touch is FOLLOWED:
+            self.followers.told_of_loss(
+                heard.received_at - lost_ms / SECOND_MS
+            )
+        was_lost = before is not None and before.store_status is LOST
+        if was_lost and heard.store_status is FOLLOWED:
             self.followers.returned()
         row = self.known.get(heard.name)
         if row is None or row.address != address:
@@ -141,92 +143,95 @@
             )
 
     def behind(self, name, now, versions=None):
-        """Note that another router knows something newer."""
-        self.catchup.behind(name, now, self.is_near(name), versions)
+        """Record that another router has newer state."""
+        self.catchup.peer_is_ahead(name, now, self.is_near(name), versions)
 
     def is_near(self, name):
         """Whether a router is in this one's failure domain.
 
-        What it tells then crosses no link between domains, which are dear.
+        Traffic to such a router uses no link between domains; those links
+        are expensive.
         """
         row = self.known.get(name)
         return row is not None and row.domain == self.settings.failure_domain
 
-    def running(self, now):
-        """Give how many routers seem to run, this one included."""
-        return sum(self.hearing.counts(now).values())
+    def running_count(self, now):
+        """Return the estimated number of running routers with this one."""
+        return sum(self.hearing.router_counts(now).values())
 
     def own_standing(self):
-        """Give how this router stands with the store, as others are told.
+        """Return this router's store status as sent to other routers.
 
         Returns
         -------
-        sharing.Neighbour
+        storereaders.Neighbour
         """
         is_lost = self.view.store_lost_at is not None
-        return sharing.Neighbour(
+        return storereaders.Neighbour(
             self.settings.router_id,
             self.followers.standing(is_lost),
             self.settings.link,
-            self.current_role is not sharing.Role.TOLD,
+            self.current_role is not storereaders.Role.TOLD,
         )
 
     def role(self):
-        """Give what this router does about the store.
+        """Return this router's role in reading the store.
 
         Returns
         -------
-        sharing.Role
+        storereaders.Role
         """
         return self.current_role
 
     def _judge_role(self, now):
         neighbours = self.hearing.neighbours(now)
-        found = sharing.role(self.own_standing(), neighbours)
-        if now - self.hearing.begun_at < sharing.LISTEN_FIRST:
-            found = sharing.Role.TOLD
+        found = storereaders.choose_role(self.own_standing(), neighbours)
+        if now - self.hearing.started_at < storereaders.STARTUP_LISTEN_SECONDS:
+            found = storereaders.Role.TOLD
         if found is not self.current_role:
             self.current_role = found
             logs.event(LOG, 'store_role', role=found.name.lower())
             self.followers.role_changed(found)
 
-    def place(self):
-        """Give this router's place among those that call the store.
+    def polling_slot(self):
+        """Return this router's rank among those that call the store.
 
         Returns
         -------
         polling.Fleet
         """
         now = self.view.clock()
-        counts = self.hearing.counts(now)
-        if self.current_role is sharing.Role.ASKS:
+        counts = self.hearing.router_counts(now)
+        if self.current_role is storereaders.Role.ASKS:
             running = sum(counts.values())
             rank = min(self.hearing.rank(now), running - 1)
             return polling.Fleet(running, rank, running)
-        before = sharing.readers(
+        before = storereaders.preferred_readers(
             self.own_standing(), self.hearing.neighbours(now)
         )
-        return sharing.place(self.settings.failure_domain, len(before), counts)
+        return storereaders.fleet_position(
+            self.settings.failure_domain, len(before), counts
+        )
 
-    def store_touches(self, now):
-        """Give what the routers heard lately know of the store.
+    def store_statuses(self, now):
+        """Return the store status of each router heard from lately.
 
         Returns
         -------
-        dict of str to ordering.StoreTouch
+        dict of str to layerorders.StoreStatus
         """
-        return self.hearing.touches(now)
+        return self.hearing.store_statuses(now)
 
-    def fleet(self, now):
-        """Give how many routers there may be, this one included.
+    def max_routers(self, now):
+        """Return an upper estimate of the number of running routers.
 
-        One that has just started has heard nobody yet, but has read the
-        rows of those that ever ran.
+        A router that has just started has received no gossip yet, but has
+        read the rows of all routers that ever ran.
         """
-        return max(self.running(now), len(self.others()) + 1)
+        return max(self.running_count(now), len(self.others()) + 1)
 
     def run(self):
-        """Ask others, when that is due, until stopped."""
+        """Update role and state until stopped."""
         while not self.stopped.wait(TICK * self.rng.uniform(0.8, 1.2)):
             now = self.view.clock()
             try:
@@ -238,53 +243,54 @@
                 LOG.exception('peers_failed')
 
     def _catch_up(self, now):
-        """Get what others know already, if it does not come by itself."""
+        """Fetch newer state of others if it has not arrived by gossip."""
         known = self.catchup
         snapshot = self.view.snapshot
         position = max(snapshot.changed, snapshot.position)
         known.caught_up({TABLE: snapshot.version, ENDPOINTS: position})
-        is_told = self.current_role is sharing.Role.TOLD
-        callers = self.place().callers
+        is_told = self.current_role is storereaders.Role.TOLD
+        callers = self.polling_slot().callers
         if known.is_due(now, self._age(now), callers, is_told):
-            asks_store = is_told and not known.asked_store
-            known.asked(now, asks_store)
+            asks_store = is_told and not known.queried_store
+            known.queried(now, asks_store)
             logs.event(
                 LOG,
                 'catching_up',
                 asks='store' if asks_store else 'router',
-                ahead=known.ahead,
-                wanted=known.wanted,
+                ahead=known.newest_peer,
+                wanted=known.wanted_versions,
                 table=snapshot.version,
                 endpoints=position,
                 age_ms=round(self._age(now) * SECOND_MS),
             )
             if asks_store:
-                # The list of endpoints is long; the store gives the changes.
+                # The store returns only the changes; a peer would return
+                # the whole list of endpoints, which is long.
                 self.followers.read_now((TABLE, ENDPOINTS))
             else:
                 self._ask_one()
-        known.forget(now, is_told)
+        known.expire(now, is_told)
 
     def _age(self, now):
-        """Give the seconds since the older of both tables was read."""
+        """Return the seconds since the older of both tables was read."""
         snapshot = self.view.snapshot
-        return now - min(snapshot.table_at, snapshot.endpoints_at)
+        return now - min(snapshot.table_read_at, snapshot.endpoints_read_at)
 
     def _list_if_alone(self, now):
-        if self.running(now) > 1 and self.written:
+        if self.running_count(now) > 1 and self.written:
             self.list_at = now + ALONE_AFTER
             return
         self._list(now)
 
     def _list(self, now):
-        """Write the own row once, and read those of the others."""
+        """Write this router's row once, and read the rows of all."""
         try:
             if not self.written:
                 self.rows.write_router(self._own_row())
                 self.written = True
             rows = self.rows.read_routers()
         except exceptions.IbisringError as error:
-            LOG.debug('routers not read: %s', error.detail)
+            LOG.debug('reading the list of routers failed: %s', error.detail)
             self.list_at = now + 1.0
             return
         again = now + ALONE_AFTER if self.known else now + LIST_AGAIN
@@ -304,7 +310,7 @@
         )
 
     def others(self):
-        """Give the rows of the other routers."""
+        """Return the rows of the other routers."""
         own = self.settings.router_id
         known = list(self.known.items())
         return [row for name, row in known if name != own]
--- a/packages/gateway/ibisring_gateway/tests/test_placing.py
+++ b/packages/gateway/ibisring_gateway/tests/test_placing.py
@@ -7,7 +7,7 @@
 from ibisring_gateway import placing
 from ibisring_gateway import ports
 from ibisring_gateway.tests import builders
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
 from ibisring_policy.gateway import presence
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import exceptions
@@ -44,7 +44,7 @@
         (told if told is not None else []).append,
         lambda: None,
     )
-    placer.turn = ordering.make_turn('r1', 0.0)
+    placer.turn = layerorders.make_lease('r1', 0.0)
     placer.arrivals.changed_at = -100.0
     return placer
 
@@ -57,7 +57,7 @@
 
 def test_a_good_layout_needs_neither_lease_nor_order():
     leases, engines = builders.Leases(), builders.Engines()
-    placer = _placer(builders.view_of(_endpoints()), leases, engines)
+    placer = _placer(builders.make_view(_endpoints()), leases, engines)
     _look(placer)
     assert (leases.reads, engines.placed) == (0, [])
 
@@ -65,7 +65,7 @@
 def test_lost_layers_are_ordered_by_count_once():
     engines = builders.Engines()
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     _look(placer, times=5)
     names = [name for name, _, _ in engines.placed]
     assert names and len(names) == len(set(names))
@@ -79,10 +79,10 @@
     Cause: both see it at the same moment.
     """
     leases, engines = builders.Leases(), builders.Engines()
-    leases.row = ordering.LeaseRow('r2', 1, 1)
+    leases.row = layerorders.LeaseRow('r2', 1, 1)
     leases.version = 1
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), leases, engines)
+    placer = _placer(builders.make_view(left), leases, engines)
     _look(placer)
     assert engines.placed == []
 
@@ -90,7 +90,7 @@
 def test_a_store_that_is_away_orders_nothing():
     leases, engines = builders.Leases(), builders.Engines()
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), leases, engines)
+    placer = _placer(builders.make_view(left), leases, engines)
     for error in (
         exceptions.PlatformUnavailable('503'),
         exceptions.PlatformAnswerLost('timeout'),
@@ -103,7 +103,7 @@
 def _placer_without_store(touches, told=None):
     engines = builders.Engines()
     left = [e for e in _endpoints() if e.id != LOST]
-    view = builders.view_of(left, store_lost_at=-100.0)
+    view = builders.make_view(left, store_lost_at=-100.0)
     placer = _placer(view, engines=engines, touches=touches, told=told)
     placer.leases.fails = exceptions.PlatformUnavailable('503')
     return placer, engines
@@ -117,7 +117,7 @@
     Cause: orders needed the store, although each engine itself refuses
     those that do not carry its count.
     """
-    lost = ordering.StoreTouch.LOST
+    lost = layerorders.StoreStatus.LOST
     placer, engines = _placer_without_store({'r2': lost, 'r3': lost})
     _look(placer, times=5)
     names = [name for name, _, _ in engines.placed]
@@ -128,8 +128,8 @@
 @pytest.mark.parametrize(
     'touches',
     [
-        {'r2': ordering.StoreTouch.FOLLOWED},
-        {'r0': ordering.StoreTouch.LOST},
+        {'r2': layerorders.StoreStatus.FOLLOWING},
+        {'r0': layerorders.StoreStatus.LOST},
     ],
 )
 def test_others_do_not_order_while_the_store_is_away(touches):
@@ -154,12 +154,12 @@
     engines = builders.Engines()
     few = _endpoints()[-8:]
     now = time.monotonic()
-    view = builders.view_of(few, known_since=now)
+    view = builders.make_view(few, known_since=now)
     placer = _placer(view, engines=engines)
     _look(placer)
     assert engines.placed == []
-    grown = now - presence.RETURN_GRACE
-    placer.view = builders.view_of(few, known_since=grown)
+    grown = now - presence.REREGISTER_SECONDS
+    placer.view = builders.make_view(few, known_since=grown)
     _look(placer)
     assert engines.placed
 
@@ -173,19 +173,19 @@
     """
     engines, leases = builders.Engines(), builders.Leases()
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), leases, engines)
+    placer = _placer(builders.make_view(left), leases, engines)
     leases.fails = exceptions.PlatformUnavailable('503')
     _look(placer)
     assert engines.placed == []
-    assert placer.view.store_touch is ordering.StoreTouch.LOST
-    placer.view.lease_lost_at -= ordering.OUTAGE_LEAST
+    assert placer.view.store_status is layerorders.StoreStatus.LOST
+    placer.view.lease_lost_at -= layerorders.MIN_OUTAGE_SECONDS
     _look(placer)
     assert engines.placed
-    placer.turn.lost()
+    placer.turn.note_lost()
     placer.orders.pending.clear()
     leases.fails = None
     _look(placer)
-    assert placer.view.store_touch is ordering.StoreTouch.FOLLOWED
+    assert placer.view.store_status is layerorders.StoreStatus.FOLLOWING
 
 
 def test_engines_are_asked_what_they_hold_while_the_store_is_away():
@@ -197,26 +197,26 @@
     _look(placer, times=1)
     assert {message.id for message in told} == ordered
     assert {message.holding for message in told} == {engines.holding}
-    assert set(placer.view.told_holdings(placer.view.clock())) == ordered
+    assert set(placer.view.holdings_to_send(placer.view.clock())) == ordered
 
 
 def test_a_busy_engine_is_not_ordered():
     engines = builders.Engines()
     engines.busy = True
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     _look(placer)
     assert engines.placed == []
-    assert engines.asked
+    assert engines.queried
 
 
 def test_an_engine_that_is_believed_lost_is_planned_without():
     engines = builders.Engines()
-    view = builders.view_of(_endpoints())
+    view = builders.make_view(_endpoints())
     placer = _placer(view, engines=engines)
-    view.book.of(LOST).dead = True
-    view.book.of(LOST).dead_at = -100.0
-    view.book.of(LOST).ejected_until = 1e12
+    view.estimates.get(LOST).dead = True
+    view.estimates.get(LOST).dead_at = -100.0
+    view.estimates.get(LOST).ejected_until = 1e12
     _look(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
@@ -230,11 +230,11 @@
     Cause: it counted as a holder of its layers.
     """
     engines = builders.Engines()
-    view = builders.view_of(_endpoints())
+    view = builders.make_view(_endpoints())
     placer = _placer(view, engines=engines)
     now = time.monotonic()
     for at in (now - 1.4, now - 1.05, now - 0.4):
-        view.book.full(LOST, at, has_memory=True)
+        view.estimates.note_refusal(LOST, at, has_memory=True)
     _look(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
@@ -249,7 +249,7 @@
     engines = builders.Engines()
     engines.result = ports.OrderResult.UNKNOWN
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     _look(placer, times=5)
     names = [name for name, _, _ in engines.placed]
     assert names and len(names) == len(set(names))
@@ -264,12 +264,12 @@
     engines = builders.Engines()
     engines.result = ports.OrderResult.STALE
     left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.view_of(left), engines=engines)
+    placer = _placer(builders.make_view(left), engines=engines)
     placer.turn.read_again_at = -100.0
     placer.on_look(placing.Look())
     # Orders of one look go out together; none follows them.
     assert set(engines.tokens) == {placer.turn.term}
-    assert not placer.turn.holds(0.0)
+    assert not placer.turn.is_held(0.0)
     sent = len(engines.tokens)
     placer.leases.fails = exceptions.PlatformUnavailable('503')
     _look(placer)
