--- a/packages/policy/ibisring_policy/__init__.py
+++ b/packages/policy/ibisring_policy/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions of the router: pure, with clock and randomness passed in.
+"""Decision logic of the router, with time and randomness passed in.
 
-Nothing here does I/O, reads a clock, or starts a thread, so a fuzzer, a
-bench or the real router can drive the same code.
+No module here does I/O, reads a clock or starts a thread, so that fuzz
+tests, benchmarks and the router run the same code.
 """
--- a/packages/policy/ibisring_policy/plans.py
+++ b/packages/policy/ibisring_policy/plans.py
@@ -1,4 +1,4 @@
-"""Plans: chains of endpoints that run every layer once and in order."""
+"""Validation of plans: chains that run every layer once and in order."""
 
 __all__ = ['check_chain']
 
@@ -6,12 +6,12 @@
 
 
 def check_chain(stages, layers):
-    """Refuse a chain that would skip, repeat or reorder a layer.
+    """Raise an error if a chain skips, repeats or reorders a layer.
 
     Parameters
     ----------
     stages : sequence of engines.Stage
-        Anything with `endpoint`, `first_layer` and `last_layer`.
+        Objects with `endpoint`, `first_layer` and `last_layer`.
     layers : int
         Layers of the model, numbered from 0.
 
@@ -21,9 +21,9 @@
 
     Notes
     -----
-    A gap or an overlap between two ranges gives a fluent but wrong answer
-    that nobody notices at once.  The router checks a plan when it is made,
-    and each stage checks its own range, attempt and position again.
+    A gap or an overlap between two layer ranges yields a fluent but wrong
+    answer, which is hard to notice.  The router checks a plan when it is
+    made, and each stage checks its own range, attempt and position again.
     """
     expected = 0
     for stage in stages:
@@ -33,7 +33,7 @@
                 f' not {expected}'
             )
         if stage.last_layer < stage.first_layer:
-            raise exceptions.PlanInvalid(f'{stage.endpoint} holds no layer')
+            raise exceptions.PlanInvalid(f'{stage.endpoint} has no layers')
         expected = stage.last_layer + 1
     if expected != layers:
         raise exceptions.PlanInvalid(
--- a/packages/policy/ibisring_policy/retries.py
+++ b/packages/policy/ibisring_policy/retries.py
@@ -1,4 +1,4 @@
-"""What to do when an attempt ends badly, and how often to try again."""
+"""Retry policy: what follows a failed attempt, and how often to retry."""
 
 __all__ = [
     'Failure',
@@ -19,18 +19,28 @@
 import msgspec
 
 MAX_ATTEMPTS = 4
-MOST_RESUMES = 2
-BUDGET_SHARE = 0.2
-BUDGET_RESERVE = 10.0
-BACKOFF_BASE = 0.02
-BACKOFF_CAP = 1.0
+MAX_RESUMES = 2
+RETRIES_PER_REQUEST = 0.2
+MAX_SAVED_RETRIES = 10.0
+BASE_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 1.0
 SLOW_FACTOR = 3.0
 SLOW_TOKENS = 6
 SLOW_SECONDS = 0.2
 
 
 class Failure(enum.StrEnum):
-    """How an attempt ended, by what it says about the endpoint."""
+    """How an attempt failed.
+
+    - NOT_SENT: the endpoint could not be reached.
+    - REFUSED: it refused the request without running it.
+    - FAILED: it ran the request and reported a failure.
+    - STAGE_LOST: it was lost while the request ran.
+    - CUT: the connection broke before the answer was complete.
+    - SILENT: nothing was received for too long.
+    - SLOW: the chain became too slow.
+    - GONE: the caller disconnected.
+    """
 
     NOT_SENT = 'not_sent'
     REFUSED = 'refused'
@@ -43,7 +53,7 @@
 
 
 class Action(enum.StrEnum):
-    """The next step of a request."""
+    """The next action for a request."""
 
     RESUME = 'resume'
     NEW_ATTEMPT = 'new_attempt'
@@ -51,38 +61,38 @@
 
 
 class Situation(msgspec.Struct):
-    """All that the decision depends on.
+    """Input of the decision.
 
-    `began` says that some earlier or present attempt may have run;
-    `resumable` that the endpoint kind can go on with the same attempt;
-    `delivering` that the present attempt had come to its first token.
+    `may_have_run` is whether this or an earlier attempt may have run;
+    `resumable`, whether this kind of endpoint can resume an attempt;
+    `has_delivered`, whether the current attempt delivered a token.
     """
 
     failure: Failure
     idempotent: bool
-    began: bool
+    may_have_run: bool
     resumable: bool
     attempts: int
     resumes: int
     now: float
     deadline: float
-    most_attempts: int = MAX_ATTEMPTS
-    delivering: bool = False
+    max_attempts: int = MAX_ATTEMPTS
+    has_delivered: bool = False
 
 
-# After these an attempt certainly ran nothing.
+# Failures after which an attempt certainly did not run.
 NOT_RUN_FAILURES = (Failure.NOT_SENT, Failure.REFUSED)
-_CONNECTION = (Failure.CUT, Failure.SILENT)
+_CONNECTION_FAILURES = (Failure.CUT, Failure.SILENT)
 
 
 def decide(situation, budget):
-    """Choose the next step after a failure.
+    """Choose the next action after a failure.
 
     Parameters
     ----------
     situation : Situation
     budget : RetryBudget
-        Charged if a try is chosen that adds to the load.
+        Charged if the chosen action adds to the load.
 
     Returns
     -------
@@ -90,19 +100,20 @@
 
     Notes
     -----
-    A second run of an alert reaches the foreman twice.  So a request that
-    is not idempotent gets a new attempt only while nothing can have begun;
-    after that it may only resume the same attempt, which runs nothing anew.
+    A second run of an alert would notify its recipient twice.  A request
+    that is not idempotent therefore gets a new attempt only if no attempt
+    can have run; otherwise it may only resume the same attempt, which does
+    not run it again.
 
-    Retries without a budget multiply the load just when endpoints fail.  Two
-    kinds add nothing to it, and are not charged: a resumption, and an attempt
-    in place of one that was delivering and whose slots are free now.  When a
-    middlebox forgets all connections, or a failure domain goes, a router has
-    many of these at once; charged, they would spend the budget, and the
-    answers of most callers would break off.
+    Retries without a budget multiply the load when endpoints fail.  Two
+    kinds add no load and are not charged: a resumption, and an attempt that
+    replaces one which had delivered a token and whose slots are free now.
+    When a middlebox drops all connections, or a failure domain fails, a
+    router has many of these at once; if they were charged, they would use
+    up the budget, and most callers' answers would break off.
 
-    A silent engine is not asked again while it has delivered nothing, if the
-    request may run elsewhere.
+    An attempt at a silent engine that has delivered no token is not resumed
+    if the request may run elsewhere.
 
     Examples
     --------
@@ -110,46 +121,51 @@
     >>> decide(s, make_budget()).value
     'give_up'
     """
-    if situation.now >= situation.deadline or situation.most_attempts == 1:
+    if situation.now >= situation.deadline or situation.max_attempts == 1:
         return Action.GIVE_UP
     if _may_resume(situation):
         return Action.RESUME
-    if situation.attempts >= situation.most_attempts:
+    if situation.attempts >= situation.max_attempts:
         return Action.GIVE_UP
-    certain = situation.failure in NOT_RUN_FAILURES and not situation.began
-    if not situation.idempotent and not certain:
+    surely_not_run = (
+        situation.failure in NOT_RUN_FAILURES and not situation.may_have_run
+    )
+    if not situation.idempotent and not surely_not_run:
         return Action.GIVE_UP
-    if situation.delivering or budget.spend():
+    if situation.has_delivered or budget.spend():
         return Action.NEW_ATTEMPT
     return Action.GIVE_UP
 
 
 def _may_resume(situation):
-    if not situation.resumable or situation.failure not in _CONNECTION:
+    if (
+        not situation.resumable
+        or situation.failure not in _CONNECTION_FAILURES
+    ):
         return False
-    if situation.idempotent and not situation.delivering:
+    if situation.idempotent and not situation.has_delivered:
         return False
-    return situation.resumes < MOST_RESUMES
+    return situation.resumes < MAX_RESUMES
 
 
-def outcome_of(failure, began):
-    """Return the truthful outcome when no further step is taken.
+def outcome_of(failure, may_have_run):
+    """Return the outcome to report when the request is not retried.
 
     Parameters
     ----------
     failure : Failure
-        Of the last attempt.
-    began : bool
+        Failure of the last attempt.
+    may_have_run : bool
         Whether any attempt may have run.
 
     Examples
     --------
-    >>> outcome_of(Failure.REFUSED, began=False).value
+    >>> outcome_of(Failure.REFUSED, may_have_run=False).value
     'not_run'
-    >>> outcome_of(Failure.REFUSED, began=True).value
+    >>> outcome_of(Failure.REFUSED, may_have_run=True).value
     'unknown'
     """
-    if failure in NOT_RUN_FAILURES and not began:
+    if failure in NOT_RUN_FAILURES and not may_have_run:
         return exceptions.Outcome.NOT_RUN
     if failure is Failure.FAILED:
         return exceptions.Outcome.FAILED
@@ -157,14 +173,14 @@
 
 
 class RetryBudget:
-    """Allows retries up to a share of first tries.
+    """Limits retries to a share of first attempts.
 
     Parameters
     ----------
     share : float
-        Retries earned by each first try.
+        Retries earned by each first attempt.
     reserve : float
-        Most that can be saved up; also what it starts with.
+        Maximum number of saved retries; also the initial number.
     """
 
     __slots__ = ('share', 'reserve', 'saved')
@@ -175,29 +191,29 @@
         self.saved = reserve
 
     def earn(self):
-        """Count a first try."""
+        """Count a first attempt."""
         self.saved = min(self.reserve, self.saved + self.share)
 
     def spend(self):
-        """Take one retry; False if none is left."""
+        """Charge a retry; False if none is available."""
         if self.saved < 1.0:
             return False
         self.saved -= 1.0
         return True
 
 
-def make_budget(share=BUDGET_SHARE, reserve=BUDGET_RESERVE):
+def make_budget(share=RETRIES_PER_REQUEST, reserve=MAX_SAVED_RETRIES):
     """Make a retry budget."""
     return RetryBudget(share, reserve)
 
 
-def backoff(attempt, rng, base=BACKOFF_BASE, cap=BACKOFF_CAP):
-    """Return a wait before another attempt, with full jitter.
+def backoff(attempt, rng, base=BASE_BACKOFF_SECONDS, cap=MAX_BACKOFF_SECONDS):
+    """Return the wait before the next attempt, with full jitter.
 
     Parameters
     ----------
     attempt : int
-        Attempts made so far, from 1.
+        Number of attempts made, at least 1.
     rng : random.Random
 
     Returns
@@ -209,16 +225,16 @@
 
 
 def is_slow(seconds, tokens, expected):
-    """Return whether an attempt is so slow that another chain is better.
+    """Return whether an attempt is so slow that it should be replaced.
 
     Parameters
     ----------
     seconds : float
         Since its first token.
     tokens : int
-        That came after the first.
+        Number of tokens received after the first.
     expected : float
-        Seconds a token that were expected of its chain.
+        Expected seconds per token of its chain.
 
     Returns
     -------
@@ -226,9 +242,9 @@
 
     Notes
     -----
-    A stage that has become ten times slower answers every probe and breaks
-    no connection; it shows only as answers that come too late.  An
-    idempotent request leaves it and goes on elsewhere.
+    A stage that has become ten times slower still answers probes and keeps
+    its connections; only the answers are late.  An idempotent request is
+    then continued on another chain.
 
     Examples
     --------
--- a/packages/policy/ibisring_policy/revisions.py
+++ b/packages/policy/ibisring_policy/revisions.py
@@ -1,4 +1,4 @@
-"""The records in force on one router: forward only, without gaps."""
+"""The active records of a router; revisions only increase, without gaps."""
 
 __all__ = ['ActiveRecords', 'ApplyResult', 'make_records']
 
@@ -10,7 +10,7 @@
 
 
 class ApplyResult(enum.StrEnum):
-    """What became of a change that was offered."""
+    """Result of applying a change or a snapshot."""
 
     APPLIED = 'applied'
     OLD = 'old'
@@ -18,20 +18,20 @@
 
 
 class ActiveRecords:
-    """Applies changes and snapshots, never to a lower revision.
+    """Applies changes and snapshots in order of increasing revisions.
 
     Attributes
     ----------
     revision : int
-        -1 before anything is in force.
+        -1 while there are no active records.
 
     Notes
     -----
-    A peer that was paused, or a table service restored from a copy, may
-    offer what is older than what is in force.  An operator would see a
-    change revert by itself.  Whatever is not newer is therefore ignored,
-    and a change that does not follow directly is not applied but fetched
-    with those between.
+    A peer that was paused, or a table service restored from a backup, may
+    send records that are older than the active ones, and applying them
+    would revert an operator's change.  Records that are not newer are
+    therefore ignored.  A change that does not directly follow the active
+    revision is not applied; the caller has to fetch the changes between.
     """
 
     def __init__(self):
@@ -40,7 +40,7 @@
         self.recent = {}
 
     def apply_change(self, change):
-        """Apply a change if it is the next one.
+        """Apply a change if its revision is the next one.
 
         Parameters
         ----------
@@ -62,7 +62,7 @@
         return ApplyResult.APPLIED
 
     def apply_snapshot(self, revision, stored):
-        """Take a whole snapshot if it is newer.
+        """Replace all records by a snapshot if it is newer.
 
         Parameters
         ----------
@@ -81,17 +81,17 @@
         return ApplyResult.APPLIED
 
     def changes_since(self, revision):
-        """Return the changes after a revision, or None if not all are here."""
-        wanted = range(revision + 1, self.revision + 1)
-        if all(number in self.recent for number in wanted):
-            return [self.recent[number] for number in wanted]
+        """Return the changes after a revision; None if some are missing."""
+        revisions = range(revision + 1, self.revision + 1)
+        if all(number in self.recent for number in revisions):
+            return [self.recent[number] for number in revisions]
         return None
 
     def build(self):
-        """Return the configuration in force."""
+        """Return the active configuration."""
         return configuration.build(self.revision, self.stored.values())
 
 
 def make_records():
-    """Make records of a router that has none yet."""
+    """Make the records of a router that has none yet."""
     return ActiveRecords()
--- a/packages/policy/ibisring_policy/streams.py
+++ b/packages/policy/ibisring_policy/streams.py
@@ -1,4 +1,4 @@
-"""Putting an answer together from the events of its attempts."""
+"""Assembly of an answer from the events of its attempts."""
 
 __all__ = ['Verdict', 'Assembler', 'make_assembler']
 
@@ -6,7 +6,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What to do with an event."""
+    """How to handle an event."""
 
     DELIVER = 'deliver'
     FINISH = 'finish'
@@ -15,7 +15,7 @@
 
 
 class Assembler:
-    """Accepts the tokens of one request, each position once and in order.
+    """Accepts each token position of a request once and in order.
 
     Parameters
     ----------
@@ -24,19 +24,20 @@
     Attributes
     ----------
     tokens : list of str
-        What the caller has.
+        Tokens delivered to the caller.
     attempt : int
-        The only attempt whose events count.
+        The current attempt; events of others are dropped.
     dropped : int
-        Events that belonged to another request or attempt, or came twice.
+        Number of events of another request or attempt, and of duplicates.
 
     Notes
     -----
-    Answers come late, crossed and doubled: an old attempt goes on talking
-    after a new one began, and a resumed stream repeats what was in flight.
-    The caller would see a word twice, or another caller's.  Every event
-    therefore names request, attempt and position, and only the next
-    position of the current attempt is delivered.
+    Events may arrive late, mixed up or duplicated: an old attempt may still
+    send events after a new one has started, and a resumed stream repeats
+    events that were in flight.  The caller would get a token twice, or one
+    of another caller.  Every event therefore names its request, attempt
+    and position, and only the next position of the current attempt is
+    delivered.
     """
 
     __slots__ = ('request', 'attempt', 'tokens', 'dropped', 'finished')
@@ -49,9 +50,11 @@
         self.finished = False
 
     def begin_attempt(self, attempt):
-        """Make another attempt the current one; it must be a later one."""
+        """Set the current attempt, which must be later than the last."""
         if attempt <= self.attempt:
-            raise ValueError(f'attempt {attempt} after {self.attempt}')
+            raise ValueError(
+                f'attempt {attempt} is not later than {self.attempt}'
+            )
         self.attempt = attempt
 
     def _is_current(self, event):
@@ -60,7 +63,7 @@
         return not self.finished
 
     def token(self, event):
-        """Judge a token event, and keep its text if it is delivered.
+        """Check a token event, and store its text if it is delivered.
 
         Parameters
         ----------
@@ -69,7 +72,7 @@
         Returns
         -------
         Verdict
-            GAP if tokens before it are missing: the stream can't be used.
+            GAP if tokens before it are missing; the stream is unusable.
         """
         expected = len(self.tokens)
         if not self._is_current(event) or event.position < expected:
@@ -81,7 +84,7 @@
         return Verdict.DELIVER
 
     def finish(self, event):
-        """Judge a finish event; it must name how many tokens there are."""
+        """Check a finish event, whose position is the number of tokens."""
         if not self._is_current(event):
             self.dropped += 1
             return Verdict.DROP
@@ -91,7 +94,7 @@
         return Verdict.FINISH
 
     def failure(self, event):
-        """Return whether a failure event concerns the current attempt."""
+        """Return whether a failure event belongs to the current attempt."""
         if self._is_current(event):
             return True
         self.dropped += 1
--- a/packages/policy/ibisring_policy/targets.py
+++ b/packages/policy/ibisring_policy/targets.py
@@ -1,4 +1,4 @@
-"""From the name a caller gives to the target it means."""
+"""Resolution of names in requests to targets and priority classes."""
 
 __all__ = ['resolve_model', 'resolve_service', 'choose_priority']
 
@@ -7,10 +7,10 @@
 
 
 def _default_version(configuration, model):
-    """Return a model's default version, else its last one by name."""
-    named = configuration.models[model].default_version
-    if named:
-        return named
+    """Return a model's default version, else the last one by name."""
+    default = configuration.models[model].default_version
+    if default:
+        return default
     versions = [
         name
         for name, spec in configuration.versions.items()
@@ -22,7 +22,7 @@
 
 
 def resolve_model(configuration, name):
-    """Resolve a model, a version or an adapter name.
+    """Resolve the name of a model, version or adapter.
 
     Parameters
     ----------
@@ -68,15 +68,15 @@
 
 
 def choose_priority(configuration, account, wanted, is_service):
-    """Return the priority class of a request.
+    """Choose the priority class of a request.
 
     Parameters
     ----------
     configuration : configuration.Configuration
     account : str
     wanted : str
-        '' for the default: the most urgent class allowed for a service,
-        the least urgent one for a model.
+        The requested class, or '' for the default: the most urgent allowed
+        class for a service, the least urgent one for a model.
     is_service : bool
 
     Returns
--- a/packages/policy/ibisring_policy/tests/test_retries.py
+++ b/packages/policy/ibisring_policy/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""What may be tried again, and what it is charged."""
+"""Retry policy: what may be retried, and what the budget is charged."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -13,20 +13,20 @@
     retries.Situation,
     failure=strategies.sampled_from(retries.Failure),
     idempotent=strategies.booleans(),
-    began=strategies.booleans(),
+    may_have_run=strategies.booleans(),
     resumable=strategies.booleans(),
     attempts=strategies.integers(1, 5),
     resumes=strategies.integers(0, 3),
     now=strategies.floats(0.0, 10.0),
     deadline=strategies.floats(0.0, 10.0),
-    delivering=strategies.booleans(),
+    has_delivered=strategies.booleans(),
 )
 
 
 def situation(failure, **changes):
     given_ = {
         'idempotent': True,
-        'began': True,
+        'may_have_run': True,
         'resumable': True,
         'attempts': 1,
         'resumes': 0,
@@ -42,39 +42,40 @@
 
 
 @given(situations, strategies.booleans())
-def test_what_began_and_may_not_repeat_never_runs_anew(drawn, is_spent):
+def test_request_that_is_not_idempotent_never_runs_twice(drawn, is_spent):
     budget = spent_budget() if is_spent else retries.make_budget()
     action = retries.decide(drawn, budget)
     if drawn.now >= drawn.deadline:
         assert action is GIVE_UP
-    certain = drawn.failure in retries.NOT_RUN_FAILURES and not drawn.began
+    surely_not_run = (
+        drawn.failure in retries.NOT_RUN_FAILURES and not drawn.may_have_run
+    )
     if action is NEW_ATTEMPT:
-        assert drawn.idempotent or certain
+        assert drawn.idempotent or surely_not_run
         assert drawn.attempts < retries.MAX_ATTEMPTS
-        assert drawn.delivering or not is_spent
+        assert drawn.has_delivered or not is_spent
     if action is RESUME:
         assert drawn.resumable
-        assert drawn.resumes < retries.MOST_RESUMES
+        assert drawn.resumes < retries.MAX_RESUMES
 
 
-def test_spent_budget_stops_what_would_add_load_only():
-    """Symptom: when a failure domain goes, most callers' answers break off.
+def test_spent_budget_stops_only_retries_that_add_load():
+    """Guards against broken answers when a failure domain fails.
 
-    Sequence: many running answers lose a stage at the same moment.
-    Cause: their second attempts, which take the place of the first, were
-    charged like tries on top of the load.
+    Many running answers then lose a stage at once; their new attempts only
+    replace the old ones and must not be charged to the retry budget.
     """
-    lost = situation(retries.Failure.STAGE_LOST, delivering=True)
-    refused = situation(retries.Failure.REFUSED, began=False)
+    lost = situation(retries.Failure.STAGE_LOST, has_delivered=True)
+    refused = situation(retries.Failure.REFUSED, may_have_run=False)
     assert retries.decide(lost, spent_budget()) is NEW_ATTEMPT
     assert retries.decide(refused, spent_budget()) is GIVE_UP
 
 
-def test_silent_engine_is_left_if_the_request_may_run_elsewhere():
+def test_attempt_at_a_silent_engine_is_replaced_if_idempotent():
     silent = retries.Failure.SILENT
     budget = retries.make_budget()
     assert retries.decide(situation(silent), budget) is NEW_ATTEMPT
     once = situation(silent, idempotent=False)
     assert retries.decide(once, budget) is RESUME
-    streaming = situation(silent, delivering=True)
+    streaming = situation(silent, has_delivered=True)
     assert retries.decide(streaming, budget) is RESUME
