--- a/packages/policy/ibisring_policy/dispatch.py
+++ b/packages/policy/ibisring_policy/dispatch.py
@@ -157,7 +157,7 @@
     def _charge_account(self, ticket, now):
         account = self.configuration.accounts.get(ticket.account)
         limit = account.tokens_per_second if account is not None else 0.0
-        self.limits.take(ticket.account, limit, ticket.cost, now)
+        self.limits.charge(ticket.account, limit, ticket.cost, now)
 
     def _check_target(self, ticket, now):
         if self.placer.capacity(ticket.target, now) <= 0.0:
--- a/packages/policy/ibisring_policy/limits.py
+++ b/packages/policy/ibisring_policy/limits.py
@@ -121,7 +121,7 @@
             p: d for p, d in self.peer_demands.items() if p in peers
         }
 
-    def take(self, account, limit, cost, now):
+    def charge(self, account, limit, cost, now):
         """Charge a request, or reject it.
 
         Raises
--- a/packages/policy/ibisring_policy/orders.py
+++ b/packages/policy/ibisring_policy/orders.py
@@ -105,8 +105,8 @@
     named = set(configuration.adapters)
     for other in configuration.endpoints.values():
         named.update(other.spec.adapters)
-    kept = {name for name in status.adapters if name in named}
-    return sorted(kept | set(spec.adapters))
+    retained = {name for name in status.adapters if name in named}
+    return sorted(retained | set(spec.adapters))
 
 
 def _make_order_spec(kind, spec, version, adapters, megabytes):
--- a/packages/policy/ibisring_policy/targets.py
+++ b/packages/policy/ibisring_policy/targets.py
@@ -67,14 +67,14 @@
     return admission.Target(service=name)
 
 
-def choose_priority(configuration, account, wanted, is_service):
+def choose_priority(configuration, account, requested, is_service):
     """Choose the priority class of a request.
 
     Parameters
     ----------
     configuration : configuration.Configuration
     account : str
-    wanted : str
+    requested : str
         The requested class, or '' for the default: the most urgent allowed
         class for a service, the least urgent one for a model.
     is_service : bool
@@ -90,14 +90,14 @@
     """
     known = configuration.priorities
     allowed = configuration.accounts[account].priorities or tuple(known)
-    if wanted:
-        if wanted not in known:
-            raise exceptions.NotFound(f'priority {wanted!r}')
-        if wanted not in allowed:
+    if requested:
+        if requested not in known:
+            raise exceptions.NotFound(f'priority {requested!r}')
+        if requested not in allowed:
             raise exceptions.Forbidden(
-                f'account {account} may not use priority {wanted}'
+                f'account {account} may not use priority {requested}'
             )
-        return wanted
+        return requested
     usable = [name for name in allowed if name in known]
     if not usable:
         return ''
--- a/packages/policy/ibisring_policy/tests/test_budgets.py
+++ b/packages/policy/ibisring_policy/tests/test_budgets.py
@@ -35,18 +35,18 @@
     alone let the sum of all routers bring the service down again.
     """
     fleet = make_fleet(routers)
-    made = []
+    call_times = []
     now = 0.0
     for wait, router, calls, urgency in demands:
         now += wait
         budget = fleet[router % routers]
         for _ in range(calls):
             if budget.may_write(urgency, routers, now):
-                made.append(now)
+                call_times.append(now)
     burst = max(TOTAL * budgets.BURST_SECONDS, routers)
-    for start in set(made):
-        for end in set(made):
-            within = sum(start <= time <= end for time in made)
+    for start in set(call_times):
+        for end in set(call_times):
+            within = sum(start <= time <= end for time in call_times)
             assert within <= TOTAL * max(0.0, end - start) + burst + 1e-6
 
 
--- a/packages/policy/ibisring_policy/tests/test_orders.py
+++ b/packages/policy/ibisring_policy/tests/test_orders.py
@@ -38,7 +38,7 @@
     )
 
 
-def active_configuration(wanted, adapters=()):
+def active_configuration(desired, adapters=()):
     return configuration.Configuration(
         1,
         {},
@@ -46,7 +46,7 @@
         {a: schemas.AdapterV2('m', 'w') for a in adapters},
         {},
         {},
-        {wanted.name: wanted},
+        {desired.name: desired},
         {},
         {},
     )
@@ -58,21 +58,21 @@
     A load order must not replace the layers of running requests when a
     record names a new version.
     """
-    wanted = endpoint()
+    desired = endpoint()
     busy = status('m@1', running=1)
     idle = status('m@1')
-    current = active_configuration(wanted)
-    assert orders.next_order(wanted, busy, current) is None
-    order = orders.next_order(wanted, idle, current)
+    current = active_configuration(desired)
+    assert orders.next_order(desired, busy, current) is None
+    order = orders.next_order(desired, idle, current)
     assert (order.kind, order.version) == (schemas.OrderKind.LOAD, 'm@2')
     assert order.megabytes == 40.0
 
 
 def test_adapter_is_removed_only_if_no_record_names_it():
-    wanted = endpoint(adapters=('x',))
-    current = active_configuration(wanted, adapters=['x', 'y'])
+    desired = endpoint(adapters=('x',))
+    current = active_configuration(desired, adapters=['x', 'y'])
     reported = status(adapters=['y', 'z'])
-    order = orders.next_order(wanted, reported, current)
+    order = orders.next_order(desired, reported, current)
     assert order.adapters == ['x', 'y']
 
 
@@ -101,9 +101,9 @@
     assert budget.take(0, 100.0, 100.0, 4.0)
 
 
-def idle_at(tracker, wanted, read, *times):
+def idle_at(tracker, desired, read, *times):
     """Return the idle seconds after status readings at the given times."""
-    return [tracker.observe(wanted, read(), now) for now in times][-1]
+    return [tracker.observe(desired, read(), now) for now in times][-1]
 
 
 def test_leaving_engine_is_unloaded_once_no_router_can_send_it_requests():
@@ -113,21 +113,21 @@
     may send one more request, so an engine that seems idle must not be
     unloaded immediately.
     """
-    wanted = endpoint(state=LEAVING, checks_fencing=True)
-    current = active_configuration(wanted)
+    desired = endpoint(state=LEAVING, checks_fencing=True)
+    current = active_configuration(desired)
     tracker = orders.IdleTracker()
-    enough = orders.UNLOAD_AFTER_SECONDS
-    early = idle_at(tracker, wanted, status, 10.0, 10.0 + enough - 0.1)
-    assert orders.next_order(wanted, status(), current, early) is None
+    delay = orders.UNLOAD_AFTER_SECONDS
+    early = idle_at(tracker, desired, status, 10.0, 10.0 + delay - 0.1)
+    assert orders.next_order(desired, status(), current, early) is None
     # A late request arrives and restarts the idle time.
-    tracker.observe(wanted, status(running=1), 16.0)
-    again = idle_at(tracker, wanted, status, 17.0, 17.0 + enough - 0.1)
-    assert orders.next_order(wanted, status(), current, again) is None
-    late = idle_at(tracker, wanted, status, 17.0 + enough)
-    order = orders.next_order(wanted, status(), current, late)
+    tracker.observe(desired, status(running=1), 16.0)
+    again = idle_at(tracker, desired, status, 17.0, 17.0 + delay - 0.1)
+    assert orders.next_order(desired, status(), current, again) is None
+    late = idle_at(tracker, desired, status, 17.0 + delay)
+    order = orders.next_order(desired, status(), current, late)
     assert order.kind is schemas.OrderKind.UNLOAD
     empty = status(loaded=False)
-    assert orders.next_order(wanted, empty, current, late) is None
+    assert orders.next_order(desired, empty, current, late) is None
 
 
 def test_engine_that_ignores_fencing_is_never_unloaded():
@@ -137,10 +137,12 @@
     holder loads the engine, which is to serve again.  The engine does not
     check the fencing number and would execute the late order.
     """
-    wanted = endpoint(state=LEAVING)
-    long = 10 * orders.UNLOAD_AFTER_SECONDS
+    desired = endpoint(state=LEAVING)
+    idle_seconds = 10 * orders.UNLOAD_AFTER_SECONDS
     assert (
-        orders.next_order(wanted, status(), active_configuration(wanted), long)
+        orders.next_order(
+            desired, status(), active_configuration(desired), idle_seconds
+        )
         is None
     )
 
@@ -151,10 +153,10 @@
     Its last status was idle; the time since that reading must not count,
     because the engine may have accepted requests.
     """
-    wanted = endpoint(state=LEAVING)
+    desired = endpoint(state=LEAVING)
     tracker = orders.IdleTracker()
     last = status()
-    assert idle_at(tracker, wanted, lambda: last, 0.0, 60.0, 120.0) == 0.0
+    assert idle_at(tracker, desired, lambda: last, 0.0, 60.0, 120.0) == 0.0
 
 
 def test_endpoint_that_serves_again_is_not_unloaded():
@@ -165,12 +167,12 @@
 
 
 def test_role_order_is_sent_if_the_engine_reports_another_role():
-    wanted = endpoint(role=STANDBY)
-    current = active_configuration(wanted)
+    desired = endpoint(role=STANDBY)
+    current = active_configuration(desired)
     reported = status()
-    assert orders.next_order(wanted, reported, current) is None
+    assert orders.next_order(desired, reported, current) is None
     reported.role = 'active'
-    order = orders.next_order(wanted, reported, current)
+    order = orders.next_order(desired, reported, current)
     assert (order.kind, order.role) == (schemas.OrderKind.ROLE, 'standby')
     reported.role = order.role
-    assert orders.next_order(wanted, reported, current) is None
+    assert orders.next_order(desired, reported, current) is None
