--- a/packages/gateway/ibisring_gateway/__init__.py
+++ b/packages/gateway/ibisring_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of opaque requests to endpoints that others run."""
+"""Gateway that forwards opaque requests to endpoints of other operators."""
--- a/packages/gateway/ibisring_gateway/events.py
+++ b/packages/gateway/ibisring_gateway/events.py
@@ -1,83 +1,85 @@
-"""Whole events of a stream, by position, never joined from two answers."""
+"""Splits an event stream into complete events, tracked by position."""
 
-__all__ = ['Damaged', 'Splitter', 'make_splitter']
+__all__ = ['StreamGap', 'EventSplitter', 'make_event_splitter']
 
-_ENDS = (b'\n\n', b'\r\n\r\n')
+_TERMINATORS = (b'\n\n', b'\r\n\r\n')
 
 
-class Damaged(Exception):
-    """A stream does not go on where the last one stopped."""
+class StreamGap(Exception):
+    """A stream has a gap: it does not continue at the next position."""
 
 
-class Splitter:
-    """Passes on whole events, each position once and in order.
+class EventSplitter:
+    """Passes on complete events, each position once and in order.
 
-    An endpoint may stop in the middle of an event, and one that goes on in
-    its place begins with the next whole one.  Half an event followed by a
-    whole one would be read as a different piece of text.
+    An endpoint may fail in the middle of an event, and the one that resumes
+    the stream starts with a complete event.  If the partial event were passed
+    on, the caller would parse it together with the next one as corrupt text.
 
     Parameters
     ----------
-    after : int or None
-        Position of the last event that the caller has.
+    last_position : int or None
+        Position of the last event that the caller has received.
     """
 
-    __slots__ = ('last', 'rest', 'count')
+    __slots__ = ('last_position', 'partial', 'count')
 
-    def __init__(self, after=None):
-        self.last = after
-        self.rest = b''
+    def __init__(self, last_position=None):
+        self.last_position = last_position
+        self.partial = b''
         self.count = 0
 
     def restart(self):
-        """Forget the part of an event that was not whole."""
-        self.rest = b''
+        """Discard the partial event of the previous attempt."""
+        self.partial = b''
 
     def feed(self, data):
-        """Give the bytes of the whole events that are complete now.
+        """Add received bytes and return those of the events now complete.
 
         Raises
         ------
-        Damaged
-            A position is missing.
+        StreamGap
+            A position was skipped.
 
         Examples
         --------
-        >>> splitter = make_splitter()
+        >>> splitter = make_event_splitter()
         >>> splitter.feed(b'id: 1\\ndata: a\\n\\nid: 2\\nda')
         b'id: 1\\ndata: a\\n\\n'
-        >>> splitter.feed(b'ta: b\\n\\n'), splitter.last
+        >>> splitter.feed(b'ta: b\\n\\n'), splitter.last_position
         (b'id: 2\\ndata: b\\n\\n', 2)
         """
-        data = self.rest + data
+        data = self.partial + data
         out = []
         while True:
-            cut = _end_of_event(data)
-            if cut is None:
+            end_index = _end_of_event(data)
+            if end_index is None:
                 break
-            event, data = data[:cut], data[cut:]
+            event, data = data[:end_index], data[end_index:]
             if self._is_next(event):
                 out.append(event)
-        self.rest = data
+        self.partial = data
         return b''.join(out)
 
     def _is_next(self, event):
         position = _position(event)
         if position is None:
             return True
-        if self.last is not None:
-            if position <= self.last:
+        if self.last_position is not None:
+            if position <= self.last_position:
                 return False
-            if position != self.last + 1:
-                raise Damaged(f'event {position} came after {self.last}')
-        self.last = position
+            if position != self.last_position + 1:
+                raise StreamGap(
+                    f'event {position} follows event {self.last_position}'
+                )
+        self.last_position = position
         self.count += 1
         return True
 
 
 def _end_of_event(data):
-    cuts = [data.find(end) + len(end) for end in _ENDS if end in data]
-    return min(cuts) if cuts else None
+    ends = [data.find(end) + len(end) for end in _TERMINATORS if end in data]
+    return min(ends) if ends else None
 
 
 def _position(event):
@@ -88,6 +90,6 @@
     return None
 
 
-def make_splitter(after=None):
-    """Make a `Splitter` for a stream."""
-    return Splitter(after)
+def make_event_splitter(last_position=None):
+    """Make an `EventSplitter` for a stream."""
+    return EventSplitter(last_position)
--- a/packages/gateway/ibisring_gateway/exchange.py
+++ b/packages/gateway/ibisring_gateway/exchange.py
@@ -1,9 +1,9 @@
-"""A caller's side of a request, on cheroot."""
+"""HTTP server side: a caller's request and its answer, on cheroot."""
 
 __all__ = [
     'Exchange',
     'BodyTooLarge',
-    'CallerLeft',
+    'CallerDisconnected',
     'make_server',
     'apply_limits',
 ]
@@ -20,11 +20,11 @@
 LOG = logging.getLogger(__name__)
 # Connections that the kernel may queue; cheroot's default of 5 resets a
 # burst of new ones.
-BACKLOG = 1024
-# cheroot keeps 10 idle connections unless told otherwise and closes all
-# others after each answer, which costs callers a new one for each request.
-MOST_KEPT = 100000
-# Answers of these kinds belong to one connection and are not passed on.
+LISTEN_BACKLOG = 1024
+# By default cheroot keeps 10 connections alive and closes all others after
+# each answer, so callers would need a new connection for each request.
+MAX_IDLE_CONNECTIONS = 100000
+# Hop-by-hop headers apply to one connection only and are not forwarded.
 HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -40,15 +40,15 @@
 
 
 class BodyTooLarge(exceptions.RequestTooLarge):
-    """The request's body passes the limit in force."""
+    """The request's body exceeds the configured limit."""
 
 
-class CallerLeft(Exception):
-    """The caller's connection ended while it was read or written."""
+class CallerDisconnected(Exception):
+    """The caller's connection was lost during a read or write."""
 
 
 class Exchange:
-    """One request of a caller and the answer to it.
+    """A caller's request and the answer to it.
 
     Parameters
     ----------
@@ -57,7 +57,7 @@
     Attributes
     ----------
     begun : bool
-        Whether the head of an answer was written.
+        Whether the status line and headers of an answer were written.
     """
 
     def __init__(self, request):
@@ -73,16 +73,16 @@
 
     @property
     def method(self):
-        """The method as text."""
+        """The request method as text."""
         return self.request.method.decode('latin-1')
 
     @property
     def target(self):
-        """Path and query as the caller sent them."""
+        """Path and query string as the caller sent them."""
         return self.request.uri.decode('latin-1')
 
     def headers(self):
-        """Give the request's headers, without those of the connection."""
+        """Return the request's headers without the hop-by-hop ones."""
         found = {}
         for name, value in self.request.inheaders.items():
             text = name.decode('latin-1')
@@ -96,18 +96,18 @@
         Raises
         ------
         RequestTooLarge
-        CallerLeft
+        CallerDisconnected
         """
         try:
             return self.request.rfile.read()
         except cheroot_errors.MaxSizeExceeded as error:
             self.request.close_connection = True
-            raise BodyTooLarge('the body is too large') from error
+            raise BodyTooLarge('the request body is too large') from error
         except (OSError, ValueError) as error:
-            raise CallerLeft(str(error)) from error
+            raise CallerDisconnected(str(error)) from error
 
     def begin(self, status, headers):
-        """Write status and headers; the body follows by `write`.
+        """Write status line and headers; `write` sends the body.
 
         Parameters
         ----------
@@ -130,47 +130,48 @@
         try:
             request.ensure_headers_sent()
         except OSError as error:
-            raise CallerLeft(str(error)) from error
+            raise CallerDisconnected(str(error)) from error
 
     def write(self, data):
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         if not data:
             return
         try:
             self.request.write(data)
         except OSError as error:
-            raise CallerLeft(str(error)) from error
+            raise CallerDisconnected(str(error)) from error
         self.sent += len(data)
 
     def answer(self, status, headers, body):
-        """Write a whole answer."""
+        """Write a complete answer."""
         length = ('Content-Length', str(len(body)))
         kept = [h for h in headers if h[0].lower() != 'content-length']
         self.begin(status, [*kept, length])
         self.write(body)
 
     def abort(self):
-        """End an answer under way so that it can't look complete.
+        """Truncate the answer so that the caller can't take it as complete.
 
-        Without the last chunk, or short of its length, and with the
-        connection closed, the caller sees that it was cut.
+        The final chunk (or the rest of the declared length) is missing when
+        the connection closes, which tells the caller that the answer was
+        truncated.
         """
         self.request.chunked_write = False
         self.request.close_connection = True
 
     def close_after(self):
-        """Let the connection end after this answer."""
+        """Close the connection after this answer."""
         self.request.close_connection = True
 
 
 class _Server(cheroot_server.HTTPServer):
-    """Logs what cheroot finds wrong as structured lines."""
+    """Logs cheroot's errors as structured lines."""
 
     def error_log(self, msg='', level=logging.INFO, traceback=False):
         LOG.log(level, 'caller_connection', extra={'facts': {'said': msg}})
 
 
-def make_server(address, threads, handle, limits):
+def make_server(address, threads, handler, limits):
     """Make a cheroot server.
 
     Parameters
@@ -178,9 +179,9 @@
     address : str
         'IP:PORT'
     threads : (int, int)
-        Threads at the start and at most.
-    handle : callable
-        Called with an `Exchange` in a thread of the server.
+        Initial and maximum number of threads.
+    handler : callable
+        Called with an `Exchange` in a worker thread of the server.
     limits : routing.CallerLimits
 
     Returns
@@ -191,13 +192,13 @@
 
     class Gateway(cheroot_server.Gateway):
         def respond(self):
-            handle(Exchange(self.req))
+            handler(Exchange(self.req))
 
     host, _, port = address.rpartition(':')
     server = _Server((host, int(port)), Gateway)
     server.requests = GrowingPool(server, min=threads[0], max=threads[1])
-    server.request_queue_size = BACKLOG
-    server.keep_alive_conn_limit = MOST_KEPT
+    server.request_queue_size = LISTEN_BACKLOG
+    server.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
     server.server_name = 'ibisring'
     server.shutdown_timeout = 1
     apply_limits(server, limits)
@@ -205,31 +206,33 @@
 
 
 def apply_limits(server, limits):
-    """Put limits in force for connections that come from now on."""
-    # Callers use a connection again for four fifths of the idle limit;
-    # ending it no sooner than the limit keeps theirs from being cut.
+    """Apply limits to connections accepted from now on."""
+    # Callers reuse a connection for up to four fifths of the idle limit.
+    # Closing it only after the full limit avoids closing a connection on
+    # which a request is about to be sent.
     server.timeout = limits.idle_timeout + 1.0
     server.max_request_header_size = limits.header_bytes * 2
     server.max_request_body_size = limits.body_bytes
 
 
 class GrowingPool(threadpool.ThreadPool):
-    """Adds threads while all are busy.
+    """A thread pool that grows while all of its threads are busy.
 
-    Each stream holds a thread for its whole life, and how many come depends
-    on how many other routers are down; threads for the worst case would
-    cost memory on every day.  cheroot itself waits a tenth of a second for
-    new threads, in the thread that accepts connections; this does not.
+    Each stream occupies a thread until it ends, and the number of streams
+    depends on how many other routers are down; a pool sized for the worst
+    case would waste memory all the time.  cheroot's own pool blocks the
+    thread that accepts connections for a tenth of a second while new threads
+    start; this one doesn't.
     """
 
-    STEP = 8
+    GROWTH_STEP = 8
 
     def put(self, obj):
         if self.idle <= 1:
-            self.grow(self.STEP)
+            self.grow(self.GROWTH_STEP)
         super().put(obj)
 
     def grow(self, amount):
-        room = max(self.max - len(self._threads), 0)
-        for _ in range(min(amount, room)):
+        spare = max(self.max - len(self._threads), 0)
+        for _ in range(min(amount, spare)):
             self._threads.append(self._spawn_worker())
--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -89,7 +89,7 @@
             self._serve(exchange, request, started)
         except exceptions.IbisringError as error:
             self._refuse(exchange, request_id, error, started)
-        except exchange_module.CallerLeft as error:
+        except exchange_module.CallerDisconnected as error:
             exchange.abort()
             self._log(request_id, 'caller_gone', started, why=str(error))
         except Exception:
@@ -118,7 +118,7 @@
         status, headers, body = self.codec.encode_error(request_id, error)
         try:
             exchange.answer(status, headers, body)
-        except exchange_module.CallerLeft as left:
+        except exchange_module.CallerDisconnected as left:
             LOG.debug('caller left before a refusal: %s', left)
         self.metrics.count(f'refused.{error.code}')
         snapshot = self.view.snapshot
@@ -224,7 +224,7 @@
                 tries=progress.tries,
                 endpoints=job.sent_to,
                 left_ms=round(progress.time_left * SECOND_MS),
-                after_event=job.splitter.last,
+                after_event=job.splitter.last_position,
             )
             if step not in GOING_ON:
                 self._give_up(job, end, step)
@@ -236,11 +236,11 @@
         """Let a moment pass before a stream under way is tried again."""
         time.sleep(attempts.REFUSED_PAUSE)
         if serving.is_gone(job.exchange.socket):
-            raise exchange_module.CallerLeft('between two tries')
+            raise exchange_module.CallerDisconnected('between two tries')
 
     def _give_up(self, job, end, step):
         if step is attempts.Next.DROP:
-            raise exchange_module.CallerLeft('the caller closed')
+            raise exchange_module.CallerDisconnected('the caller closed')
         if step is attempts.Next.BREAK:
             job.exchange.abort()
             self.metrics.count('broken_off')
@@ -275,7 +275,7 @@
         attempts.End or None
             None once the caller has its final answer.
         """
-        if not self.screen.passes(job):
+        if not self.screen.wait_until_allowed(job):
             return attempts.End.SUSPECTED
         choice = self.selector.choose(job, self.clock())
         if choice is None and job.exchange.begun:
@@ -305,14 +305,14 @@
         attempt.may_leave = self._may_leave(job, choice.endpoint)
         job.chain = _chain_text(choice.stages)
         self.selector.reserve(attempt)
-        self.screen.begin(job, attempt)
+        self.screen.record_start(job, attempt)
         self.watcher.add(job.exchange.socket, attempt)
         try:
             return self.sender.send(job, attempt)
         finally:
             self.watcher.remove(job.exchange.socket)
             self.selector.release(attempt)
-            self.screen.finish(job)
+            self.screen.record_end(job)
 
     def _may_leave(self, job, endpoint):
         """Whether another endpoint may get the request after this one."""
@@ -330,7 +330,9 @@
         while self.clock() < end:
             time.sleep(RESUME_TICK)
             if serving.is_gone(job.exchange.socket):
-                raise exchange_module.CallerLeft('while waiting for room')
+                raise exchange_module.CallerDisconnected(
+                    'while waiting for room'
+                )
             choice = self.selector.choose(job, self.clock())
             if choice is not None:
                 return choice
--- a/packages/gateway/ibisring_gateway/jobs.py
+++ b/packages/gateway/ibisring_gateway/jobs.py
@@ -1,6 +1,6 @@
-"""A request while it is being served."""
+"""State of a request while it is served."""
 
-__all__ = ['Job', 'Late']
+__all__ = ['Job', 'LateReason']
 
 import enum
 
@@ -10,34 +10,34 @@
 from ibisring_records import routing
 
 
-class Late(enum.StrEnum):
-    """What made an answer late for its caller."""
+class LateReason(enum.StrEnum):
+    """Which of a caller's objectives an answer missed."""
 
     FIRST = 'first'
     PAUSE = 'pause'
 
 
 class Job:
-    """A request while it is being served.
+    """State of a request while it is served.
 
     Attributes
     ----------
     started : float
-        Monotonic seconds at which its first byte was read.
-    splitter : events.Splitter
+        Monotonic time in seconds at which its first byte was read.
+    splitter : events.EventSplitter
     progress : attempts.Progress
     digest : bytes
-        The same for each attempt of one request, see `identity`.
+        The same for each attempt of a request, see `identity`.
     is_suspect : bool
-        Whether some endpoint may have ended under it.
+        Whether it may have crashed an endpoint.
     avoid : set of str
         Endpoints that failed this request.
     limited : set of str
-        Endpoints that it could not go to for their limits, when last tried.
-    first_at, last_at : float or None
-        When the first and the latest piece of its answer came.
+        Endpoints that were skipped for their rate limits in the last choice.
+    first_chunk_at, last_chunk_at : float or None
+        When the first and the latest chunk of its answer arrived.
     longest_pause : float
-        Longest time between two pieces, in seconds.
+        Longest time between two chunks, in seconds.
     """
 
     def __init__(self, exchange, request, match, service, started, deadline):
@@ -55,15 +55,15 @@
             request.target,
             request.body,
         )
-        self.splitter = events.make_splitter(request.after_event)
+        self.splitter = events.make_event_splitter(request.after_event)
         self.is_suspect = False
         self.avoid = set()
         self.limited = set()
         self.sent_to = []
         self.answer = None
         self.chain = ''
-        self.first_at = None
-        self.last_at = None
+        self.first_chunk_at = None
+        self.last_chunk_at = None
         self.longest_pause = 0.0
         self.progress = attempts.Progress(
             repeatable=match.route.repeatable,
@@ -71,35 +71,36 @@
             most_endpoints=max(1, match.route.most_endpoints),
         )
 
-    def piece_came(self, now):
-        """Note a piece of the answer; pauses count over all attempts."""
-        if self.first_at is None:
-            self.first_at = now
+    def record_chunk(self, now):
+        """Record a chunk of the answer; pauses span all attempts."""
+        if self.first_chunk_at is None:
+            self.first_chunk_at = now
         else:
-            pause = now - self.last_at
+            pause = now - self.last_chunk_at
             self.longest_pause = max(self.longest_pause, pause)
-        self.last_at = now
+        self.last_chunk_at = now
 
     @property
     def first_seconds(self):
-        """Seconds to the first piece of the answer, None without one."""
-        if self.first_at is None:
+        """Seconds to the first chunk of the answer, None without one."""
+        if self.first_chunk_at is None:
             return None
-        return self.first_at - self.started
+        return self.first_chunk_at - self.started
 
     @property
     def late(self):
         """Which of the caller's objectives was missed, None if none was.
 
-        A request that came back after a refusal counts from its return: its
-        caller does not say since when it has waited.
+        For a request that a caller sends again after a refusal, the time
+        counts from the latest arrival: the router doesn't know when the
+        caller first sent it.
         """
         first = self.first_seconds
         if first is None:
             return None
         if first > self.route.objective:
-            return Late.FIRST
-        allowed = self.route.longest_pause
-        if allowed and self.longest_pause > allowed:
-            return Late.PAUSE
+            return LateReason.FIRST
+        max_pause = self.route.longest_pause
+        if max_pause and self.longest_pause > max_pause:
+            return LateReason.PAUSE
         return None
--- a/packages/gateway/ibisring_gateway/liveness.py
+++ b/packages/gateway/ibisring_gateway/liveness.py
@@ -1,8 +1,8 @@
-"""Whether an endpoint has ended, asked when it has lost an answer.
+"""Checks whether an endpoint has crashed, after an answer of it was lost.
 
-An answer is lost as well by an endpoint that lives, by a link that fails and
-by one that stands still.  Only a closed port, or a later start, shows that the
-endpoint that had the request is no more.
+Answers are also lost by endpoints that run on, by failing links and by links
+that stall.  Only a closed port, or a later start time, shows that the process
+that had the request has exited.
 """
 
 __all__ = ['Prober', 'make_prober']
@@ -13,13 +13,13 @@
 from ibisring_records import exceptions
 
 LOG = logging.getLogger(__name__)
-# Seconds that an endpoint has: a closed port answers as fast as the network
-# does, and the caller waits meanwhile.
-TIMEOUT = 0.05
+# A closed port is refused within a network round trip, and the caller waits
+# in the meantime.
+TIMEOUT_SECONDS = 0.05
 
 
 class Prober:
-    """Asks endpoints whether they still are what they were.
+    """Checks whether endpoints have crashed or restarted.
 
     Parameters
     ----------
@@ -29,8 +29,8 @@
     def __init__(self, engines):
         self.engines = engines
 
-    def has_ended(self, endpoint):
-        """Say whether an endpoint has ended, or started again since.
+    def has_crashed(self, endpoint):
+        """Return whether an endpoint has crashed, or restarted since.
 
         Parameters
         ----------
@@ -39,24 +39,26 @@
         Returns
         -------
         bool or None
-            None if it can't be told: nothing answers at all.
+            None if it is unknown, as nothing answers at all.
         """
         host, _, port = endpoint.address.rpartition(':')
         try:
-            socket.create_connection((host, int(port)), TIMEOUT).close()
+            socket.create_connection(
+                (host, int(port)), TIMEOUT_SECONDS
+            ).close()
         except ConnectionRefusedError:
             return True
         except OSError as error:
             LOG.debug('liveness of %s unknown: %s', endpoint.id, error)
             return None
-        return self._has_started_again(endpoint)
+        return self._has_restarted(endpoint)
 
-    def _has_started_again(self, endpoint):
-        """Compare start times; a plain endpoint tells none."""
+    def _has_restarted(self, endpoint):
+        """Compare start times; a plain endpoint reports none."""
         if endpoint.holding is None or not endpoint.started:
             return False
         try:
-            status = self.engines.status(endpoint.address, TIMEOUT)
+            status = self.engines.status(endpoint.address, TIMEOUT_SECONDS)
         except exceptions.IbisringError as error:
             LOG.debug('no status of %s: %s', endpoint.id, error.detail)
             return None
--- a/packages/gateway/ibisring_gateway/logwriter.py
+++ b/packages/gateway/ibisring_gateway/logwriter.py
@@ -1,6 +1,6 @@
-"""Structured lines on standard output: bounded, and never waited for."""
+"""Bounded, non-blocking output of structured log lines."""
 
-__all__ = ['Writer', 'configure']
+__all__ = ['LogWriter', 'configure']
 
 import logging
 import logging.handlers
@@ -11,39 +11,39 @@
 
 from ibisring_router import logs
 
-# Lines that may wait to be written, and lines a second over time: about
-# 25 KB/s at 250 bytes a line, five times the usual load of one router.
-MOST_WAITING = 2000
-LINES_A_SECOND = 100.0
-BURST = 1000.0
+# Length of the queue of lines to be written, and sustained lines per second:
+# about 25 KB/s at 250 bytes a line, five times the usual load of one router.
+MAX_QUEUED_LINES = 2000
+LINES_PER_SECOND = 100.0
+BURST_LINES = 1000.0
 
 
-class Writer(logging.handlers.QueueHandler):
-    """Hands lines to a thread that writes them; drops what is too much.
+class LogWriter(logging.handlers.QueueHandler):
+    """Queues lines for a writer thread; drops those beyond a rate limit.
 
-    A reader of standard output that stops would block whoever writes, and
-    a burst of lines costs the processor time that requests need.  Lines
-    beyond the bound are dropped and counted, and the next line that passes
-    says how many were lost.
+    If the reader of standard output stops reading, a direct write would
+    block the thread that logs, and a burst of lines costs CPU time that
+    requests need.  Lines beyond the limit are dropped and counted, and the
+    next line written states how many were dropped before it.
 
     Attributes
     ----------
     dropped : int
-        Lines dropped since the start.
+        Lines dropped since the process started.
     """
 
     def __init__(self, stream, clock=time.monotonic):
-        self.waiting = queue.Queue(MOST_WAITING)
-        super().__init__(self.waiting)
+        self.line_queue = queue.Queue(MAX_QUEUED_LINES)
+        super().__init__(self.line_queue)
         target = logging.StreamHandler(stream)
-        self.listener = logging.handlers.QueueListener(self.waiting, target)
+        self.listener = logging.handlers.QueueListener(self.line_queue, target)
         self.setFormatter(logs.JsonLines())
         self.clock = clock
-        self.lock_state = threading.Lock()
-        self.tokens = BURST
-        self.filled_at = clock()
+        self.state_lock = threading.Lock()
+        self.tokens = BURST_LINES
+        self.refilled_at = clock()
         self.dropped = 0
-        self.told = 0
+        self.reported_dropped = 0
 
     def emit(self, record):
         if not self._admit(record):
@@ -51,33 +51,35 @@
         super().emit(record)
 
     def _admit(self, record):
-        with self.lock_state:
+        with self.state_lock:
             now = self.clock()
-            gained = (now - self.filled_at) * LINES_A_SECOND
-            self.tokens = min(BURST, self.tokens + gained)
-            self.filled_at = now
+            refill = (now - self.refilled_at) * LINES_PER_SECOND
+            self.tokens = min(BURST_LINES, self.tokens + refill)
+            self.refilled_at = now
             if self.tokens < 1.0:
                 self.dropped += 1
                 return False
             self.tokens -= 1.0
-            if self.dropped > self.told:
+            if self.dropped > self.reported_dropped:
                 facts = dict(getattr(record, 'facts', {}))
-                facts['lines_dropped_before'] = self.dropped - self.told
+                facts['lines_dropped_before'] = (
+                    self.dropped - self.reported_dropped
+                )
                 record.facts = facts
-                self.told = self.dropped
+                self.reported_dropped = self.dropped
             return True
 
     def enqueue(self, record):
         try:
-            self.waiting.put_nowait(record)
+            self.line_queue.put_nowait(record)
         except queue.Full:
-            with self.lock_state:
+            with self.state_lock:
                 self.dropped += 1
 
 
 def configure(level='INFO', stream=None):
-    """Send all log lines of this process through a `Writer`."""
-    writer = Writer(stream or sys.stdout)
+    """Send all log lines of this process through a `LogWriter`."""
+    writer = LogWriter(stream or sys.stdout)
     root = logging.getLogger()
     root.handlers[:] = [writer]
     root.setLevel(level)
--- a/packages/gateway/ibisring_gateway/ports.py
+++ b/packages/gateway/ibisring_gateway/ports.py
@@ -1,7 +1,7 @@
-"""What the gateway asks of the installation that it runs on.
+"""Interfaces between the gateway and the platform it is deployed on.
 
-An adapter implements these classes.  Nothing here knows how the installation
-spells its messages.
+A platform adapter implements these classes; the wire formats of the platform
+are known to the adapter only.
 """
 
 __all__ = [
@@ -30,30 +30,30 @@
 
 
 class HistoryExpired(exceptions.PlatformUnavailable):
-    """The changes after a position are no longer kept."""
+    """The store no longer keeps the changes after a position."""
 
     code = 'history_gone'
     remedy = 'read everything again'
 
 
 class CallCancelled(exceptions.PlatformAnswerLost):
-    """This router itself ended a call, to make another one."""
+    """This router cancelled a call itself, to make another one."""
 
     code = 'call_ended'
 
 
 class Removed(msgspec.Struct, frozen=True):
-    """An entry was removed."""
+    """An entry that was deleted at the store."""
 
     id: str
 
 
 class Page(msgspec.Struct):
-    """Items read from a source, and the position to go on from.
+    """Items read from a source, and the position to continue from.
 
     Items are `routing.Endpoint`, `routing.RoutingTable` or `Removed`;
-    `newest_version` is the store's version of the newest of them, 0 without
-    any.
+    `newest_version` is the store's version of the newest item, 0 if there is
+    none.
     """
 
     position: int
@@ -62,11 +62,11 @@
 
 
 class Source(abc.ABC):
-    """Something that is read once and then followed."""
+    """A table of the store that is read in full once, then followed."""
 
     @abc.abstractmethod
     def read_all(self):
-        """Give a `Page` of everything there is.
+        """Return a `Page` of all entries.
 
         Raises
         ------
@@ -75,13 +75,13 @@
 
     @abc.abstractmethod
     def changes(self, position, wait):
-        """Give a `Page` of what changed after a position.
+        """Return a `Page` of the changes after a position (long poll).
 
         Parameters
         ----------
         position : int
         wait : float
-            Seconds to wait for a change.
+            Seconds to wait for a change if there is none yet.
 
         Raises
         ------
@@ -93,14 +93,15 @@
 
     @abc.abstractmethod
     def cancel_call(self):
-        """End the call under way, from another thread.
+        """Cancel the call in progress, from another thread.
 
-        It raises `CallCancelled`; if there is none, the next one may.
+        The call raises `CallCancelled`; if none is in progress, the next one
+        may raise it.
         """
 
 
 class RouterRow(msgspec.Struct):
-    """A running router, as it tells the others."""
+    """A running router, as it registers itself for the others."""
 
     name: str
     address: str
@@ -109,11 +110,11 @@
 
 
 class LeaseTable(abc.ABC):
-    """Rows that the routers share."""
+    """Rows of the store that all routers share."""
 
     @abc.abstractmethod
     def read_lease(self):
-        """Give the `ordering.LeaseRow`, or None if there is none yet."""
+        """Return the `ordering.LeaseRow`, None if there is none yet."""
 
     @abc.abstractmethod
     def write_lease(self, row):
@@ -122,29 +123,30 @@
         Returns
         -------
         ordering.LeaseRow or None
-            The row with its new version; None if somebody else wrote.
+            The row with its new version; None if another router wrote first.
 
         Raises
         ------
         PlatformUnavailable
-            Certainly not written.
+            The row was not written.
         PlatformAnswerLost
-            Perhaps written.
+            It is unknown whether the row was written.
         """
 
     @abc.abstractmethod
     def write_router(self, row):
-        """Write a router's own row."""
+        """Write this router's own row."""
 
     @abc.abstractmethod
     def read_routers(self):
-        """Give all `RouterRow` rows."""
+        """Return all `RouterRow` rows."""
 
 
 class EngineStatus(msgspec.Struct):
-    """What an engine says of itself; sizes in tokens times layers.
+    """An engine's report of its own state; sizes in tokens times layers.
 
-    `orders` counts the orders that it has accepted since its start.
+    `orders` counts the orders that it has accepted since its start; `pace`
+    is how many times slower than usual it runs.
     """
 
     orders: int
@@ -159,7 +161,7 @@
 
 
 class OrderResult(enum.StrEnum):
-    """What became of an order."""
+    """Outcome of an order to an engine."""
 
     BEGUN = 'begun'
     DONE = 'done'
@@ -170,16 +172,16 @@
 
 
 class EngineControl(abc.ABC):
-    """Reads and orders of engines."""
+    """Reads the status of engines and sends them orders."""
 
     @abc.abstractmethod
     def status(self, address, timeout):
-        """Give an `EngineStatus`.
+        """Return an `EngineStatus`.
 
         Raises
         ------
         PlatformUnavailable
-            The engine could not be reached or gave no sense.
+            The engine could not be reached or its answer not decoded.
         """
 
     @abc.abstractmethod
@@ -191,10 +193,10 @@
         endpoint : routing.Endpoint
         holding : routing.Holding
         expected_orders : int
-            The engine refuses if it has accepted more or fewer.
+            The engine refuses the order if it has accepted more or fewer.
         token : int
-            Fencing token: engines that look at it refuse a lower one than
-            they have seen.
+            Fencing token: engines that check it refuse a token lower than
+            the highest one seen.
 
         Returns
         -------
@@ -203,7 +205,7 @@
 
     @abc.abstractmethod
     def repath(self, endpoint, request_id, stages):
-        """Move a running request to other stages behind the same first one.
+        """Move a running request to other stages after the same first one.
 
         Returns
         -------
@@ -214,8 +216,8 @@
 class CallerRequest(msgspec.Struct, kw_only=True):
     """A caller's request, decoded from its headers.
 
-    `headers` are those to pass on.  `time_limit` is in seconds, None if the
-    caller named none; `prompt_tokens` and `answer_tokens` are 0 for requests
+    `headers` are those to forward.  `time_limit` is in seconds, None if the
+    caller set none; `prompt_tokens` and `answer_tokens` are 0 for requests
     to plain services.
     """
 
@@ -234,21 +236,21 @@
 
     @property
     def path(self):
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition('?')[0]
 
 
 class Answer(msgspec.Struct):
-    """The head of an endpoint's answer, decoded.
-
-    `refused` says that the endpoint did not run the request; `wrong_endpoint`
-    that another one has the address; `refusing_address` names the address of
-    the stage that a refusal is about.  `signed` says that the endpoint vouches
-    for the answer; `delimited` that its end can be told from a lost
-    connection.
-    `limit` is the rate in requests a second that the endpoint takes from all
-    routers together, None if it names none; `limit_invalid` that what it
-    names is no rate.
+    """The status and headers of an endpoint's answer, decoded.
+
+    `refused` means that the endpoint did not run the request;
+    `wrong_endpoint` that the address now belongs to another endpoint;
+    `refusing_address` is the address of the stage that caused a refusal.
+    `signed` means that the answer carries the endpoint's signature;
+    `delimited` that the end of its body can be distinguished from a lost
+    connection.  `limit` is the rate in requests per second that the endpoint
+    accepts from all routers together, None if it states none;
+    `limit_invalid` means that the stated limit can't be parsed as a rate.
     """
 
     status: int
@@ -271,7 +273,7 @@
 
     @abc.abstractmethod
     def decode_request(self, method, target, headers):
-        """Give a `CallerRequest` without its body.
+        """Return a `CallerRequest` without its body.
 
         Raises
         ------
@@ -280,13 +282,13 @@
 
     @abc.abstractmethod
     def encode_request(self, request, endpoint, attempt):
-        """Give the headers for an endpoint.
+        """Return the headers of a request to an endpoint.
 
         Parameters
         ----------
         request : CallerRequest
         endpoint : routing.Endpoint
-        attempt : forwarding.Attempt
+        attempt : selecting.AttemptMetadata
 
         Returns
         -------
@@ -295,7 +297,7 @@
 
     @abc.abstractmethod
     def decode_answer(self, status, headers):
-        """Give the `Answer` of an endpoint.
+        """Decode the head of an endpoint's answer to an `Answer`.
 
         Parameters
         ----------
@@ -305,11 +307,11 @@
 
     @abc.abstractmethod
     def encode_error(self, request_id, error):
-        """Give status, headers and body that tell a caller of an error."""
+        """Return status, headers and body of an error answer to a caller."""
 
 
 class Installation(msgspec.Struct):
-    """All that an adapter brings."""
+    """The implementations that a platform adapter provides."""
 
     endpoints: Source
     table: Source
--- a/packages/gateway/ibisring_gateway/process.py
+++ b/packages/gateway/ibisring_gateway/process.py
@@ -146,7 +146,7 @@
         followers.add('endpoints', self.installation.endpoints, False, tell)
         self.parts = [followers.start(), self.peers.start()]
         self.gossip = gossip.make_gossip(settings, self.view, self.peers, tell)
-        self.screen.on_found = self.gossip.hurry
+        self.screen.on_update = self.gossip.hurry
         self.forwarder.sender.on_limit = self.gossip.hurry
         self.parts.append(self.gossip.start())
         self.looking = periodic.start(LOOK_SECONDS, self._look_round)
--- a/packages/gateway/ibisring_gateway/screening.py
+++ b/packages/gateway/ibisring_gateway/screening.py
@@ -1,4 +1,4 @@
-"""Keeps requests that end their endpoints from being sent on."""
+"""Stops requests that crash endpoints from being forwarded."""
 
 __all__ = ['Screen', 'make_screen']
 
@@ -11,15 +11,15 @@
 from ibisring_web import serving
 
 LOG = logging.getLogger(__name__)
-# Seconds between looks whether a suspect may run.
-TICK = 0.02
-# Seconds for which a suspect waits for the outcome of another attempt of the
-# same request, which ends its endpoint or is answered long before.
-MOST_WAIT = 1.2
+# Interval at which a waiting suspect is checked again.
+POLL_SECONDS = 0.02
+# Longest time a suspect waits for the outcome of another attempt at the same
+# request, which crashes its endpoint or is answered long before.
+MAX_WAIT_SECONDS = 1.2
 
 
 class Screen:
-    """Asks and tells `suspects.Suspects` about the requests of a router.
+    """Checks requests against the view's suspects, and reports crashes.
 
     Parameters
     ----------
@@ -29,8 +29,8 @@
 
     Attributes
     ----------
-    on_found : callable
-        Called when something was found out that others should hear at once.
+    on_update : callable
+        Called when suspects changed in a way to gossip at once.
     """
 
     def __init__(self, view, prober, metrics):
@@ -38,56 +38,59 @@
         self.prober = prober
         self.metrics = metrics
         self.clock = view.clock
-        self.on_found = lambda: None
+        self.on_update = lambda: None
 
     def verdict(self, job):
-        """Give the `suspects.Verdict` on a request."""
+        """Return the `suspects.Verdict` on a request."""
         with self.view.lock:
             return self.view.suspects.verdict(job.digest, self.clock())
 
-    def passes(self, job):
-        """Wait until a request may be sent on; False if it may not.
+    def wait_until_allowed(self, job):
+        """Wait until a request may be forwarded; False if it is refused.
 
-        One of which its caller has a part was answered, and goes on.
+        A request whose caller has received part of an answer passes: an
+        endpoint has answered it without a crash.
 
         Raises
         ------
-        CallerLeft
+        CallerDisconnected
         """
         if job.exchange.begun:
             return True
-        end = min(job.deadline, self.clock() + MOST_WAIT)
+        end = min(job.deadline, self.clock() + MAX_WAIT_SECONDS)
         while True:
             verdict = self.verdict(job)
             job.is_suspect = verdict.ends > 0
             if verdict.refused_until:
                 return False
             now = self.clock()
-            is_early = verdict.is_running or now < verdict.begins_at
-            if not is_early or now >= end:
+            must_wait = verdict.is_running or now < verdict.begins_at
+            if not must_wait or now >= end:
                 return True
-            time.sleep(TICK)
+            time.sleep(POLL_SECONDS)
             if serving.is_gone(job.exchange.socket):
-                raise exchange_module.CallerLeft('while kept apart')
+                raise exchange_module.CallerDisconnected(
+                    'while the suspect request waited'
+                )
 
     def retry_after(self, job):
-        """Give the seconds for which a request is refused, 0 if it is not."""
+        """Return the seconds for which a request is refused, 0 if allowed."""
         return max(0.0, self.verdict(job).refused_until - self.clock())
 
-    def begin(self, job, attempt):
-        """Note that a request is being sent to an endpoint."""
+    def record_start(self, job, attempt):
+        """Record that a suspect is being sent to an endpoint."""
         if job.is_suspect and not job.exchange.begun:
             with self.view.lock:
                 self.view.suspects.begin(job.digest, attempt.endpoint.id)
 
-    def finish(self, job):
-        """Note that an attempt is over."""
+    def record_end(self, job):
+        """Record that an attempt is over."""
         if job.is_suspect:
             with self.view.lock:
                 self.view.suspects.finish(job.digest)
 
-    def answered(self, job):
-        """Note that an endpoint has answered a request, or begun to."""
+    def record_answer(self, job):
+        """Record that an endpoint has answered a request, or begun to."""
         with self.view.lock:
             known = self.view.suspects
             before = known.found
@@ -95,36 +98,37 @@
             known.answered(job.digest, self.clock())
             found = known.found > before
         if found:
-            self._log(job.digest, 0)
-            self.on_found()
+            self._log_suspect(job.digest, 0)
+            self.on_update()
 
-    def lost(self, job, attempt):
-        """Look into an answer that was lost before it began.
+    def check_lost_answer(self, job, attempt):
+        """Check whether an endpoint crashed, after its answer was lost.
+
+        Only answers that were lost before they began are checked.
 
         Returns
         -------
         bool or None
-            Whether the endpoint has ended; None if that was not asked, or
-            can't be told.
+            Whether the endpoint has crashed; None if that was not checked or
+            is unknown.
         """
         if attempt.end is not None or attempt.events:
             return None
-        has_ended = self.prober.has_ended(attempt.endpoint)
-        if has_ended and self._speaks_against(job, attempt):
-            self._ended(job, attempt.endpoint)
-        return has_ended
+        has_crashed = self.prober.has_crashed(attempt.endpoint)
+        if has_crashed and self._may_be_cause(job, attempt):
+            self._record_crash(job, attempt.endpoint)
+        return has_crashed
 
-    def _speaks_against(self, job, attempt):
-        """Say whether an end may be the request's own doing.
+    def _may_be_cause(self, job, attempt):
+        """Return whether the request may have caused a crash.
 
-        A stream of which some endpoint has delivered a part is not what ends
-        them.
+        A stream of which some endpoint has delivered a part is not the cause.
         """
         if job.exchange.begun or job.request.after_event:
             return False
         return self.clock() - attempt.sent_at < suspects.SOON
 
-    def _ended(self, job, endpoint):
+    def _record_crash(self, job, endpoint):
         now = self.clock()
         with self.view.lock:
             known = self.view.suspects
@@ -137,10 +141,10 @@
             self.metrics.count('suspects_forgotten', forgotten)
         if found:
             self.metrics.count('endpoints_ended_by_requests')
-            self._log(job.digest, ends, endpoint=endpoint.id)
-            self.on_found()
+            self._log_suspect(job.digest, ends, endpoint=endpoint.id)
+            self.on_update()
 
-    def _log(self, digest, ends, **facts):
+    def _log_suspect(self, digest, ends, **facts):
         logs.event(LOG, 'suspect', digest=digest.hex(), ends=ends, **facts)
 
 
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -62,8 +62,8 @@
         job.progress.tries += 1
         once = job.route.kind is routing.Kind.ONCE
         try:
-            conn = self.connections.take(endpoint, fresh=once)
-        except upstream.Failed as error:
+            conn = self.connections.acquire(endpoint, fresh=once)
+        except upstream.ConnectionFailed as error:
             return self._not_reached(job, attempt, error)
         attempt.socket = conn.sock
         if attempt.end is not None:
@@ -81,7 +81,7 @@
             response = self.connections.send(
                 conn, job.request, headers, time_left
             )
-        except upstream.Failed as error:
+        except upstream.ConnectionFailed as error:
             conn.close()
             return self._lost(job, attempt, error)
         return self._receive(job, attempt, conn, response)
@@ -92,7 +92,7 @@
             time_left=max(0.0, job.deadline - self.clock()),
             account=job.match.account,
             priority=min(9, max(0, job.match.priority)),
-            after_event=job.splitter.last,
+            after_event=job.splitter.last_position,
         )
 
     def _set_patience(self, job, attempt):
@@ -125,7 +125,7 @@
     def _lost(self, job, attempt, error):
         """Sort a failure after the request was written."""
         job.progress.may_have_run = True
-        has_ended = self.screen.lost(job, attempt)
+        has_crashed = self.screen.check_lost_answer(job, attempt)
         if attempt.end is None or attempt.end is attempts.End.SILENT:
             job.avoid.add(attempt.endpoint.id)
             with self.view.lock:
@@ -139,7 +139,7 @@
             digest=job.digest.hex(),
             endpoint=attempt.endpoint.id,
             end=attempt.end.value if attempt.end else None,
-            ended=has_ended,
+            ended=has_crashed,
             ran_ms=round((self.clock() - attempt.sent_at) * SECOND_MS),
             events=attempt.events,
             why=str(error),
@@ -179,7 +179,7 @@
         else:
             end = self._relay_whole(job, attempt, response, answer)
         if end is None and answer.delimited and attempt.end is None:
-            self.connections.give_back(attempt.endpoint, conn)
+            self.connections.release(attempt.endpoint, conn)
         else:
             conn.close()
         return end
@@ -240,20 +240,22 @@
         size = 0
         try:
             while True:
-                piece = upstream.read_piece(response)
+                piece = upstream.read_chunk(response)
                 if not piece:
                     break
                 pieces.append(piece)
                 size += len(piece)
                 if size > HELD_WHOLE:
-                    raise upstream.Failed('the answer is too large', True)
-        except upstream.Failed as error:
+                    raise upstream.ConnectionFailed(
+                        'the answer is too large', True
+                    )
+        except upstream.ConnectionFailed as error:
             return self._lost(job, attempt, error)
         if attempt.end is not None:
             return self._lost(job, attempt, 'broken off')
         if answer.length is not None and answer.length != size:
             return self._lost(job, attempt, 'short answer')
-        self.screen.answered(job)
+        self.screen.record_answer(job)
         failed = answer.status >= 500
         with self.view.lock:
             self.view.book.answered(attempt.endpoint.id, failed, self.clock())
@@ -261,7 +263,7 @@
             job.avoid.add(attempt.endpoint.id)
             return attempts.End.LOST
         job.answer = answer
-        job.piece_came(self.clock())
+        job.record_chunk(self.clock())
         job.exchange.answer(answer.status, answer.headers, b''.join(pieces))
         return None
 
@@ -281,7 +283,7 @@
         job.splitter.restart()
         try:
             while True:
-                piece = upstream.read_piece(response)
+                piece = upstream.read_chunk(response)
                 if not piece:
                     break
                 whole = job.splitter.feed(piece)
@@ -289,13 +291,13 @@
                     continue
                 now = self.clock()
                 self.selector.event_came(attempt, now)
-                job.piece_came(now)
+                job.record_chunk(now)
                 if attempt.events == 1:
-                    self.screen.answered(job)
+                    self.screen.record_answer(job)
                 if not exchange.begun:
                     exchange.begin(answer.status, _streamed(answer.headers))
                 exchange.write(whole)
-        except (upstream.Failed, events.Damaged) as error:
+        except (upstream.ConnectionFailed, events.StreamGap) as error:
             return self._lost(job, attempt, error)
         if attempt.end is not None:
             return self._lost(job, attempt, 'broken off')
@@ -303,7 +305,7 @@
             self.view.book.answered(attempt.endpoint.id, False, self.clock())
         if not exchange.begun:
             exchange.begin(answer.status, _streamed(answer.headers))
-        exchange.write(job.splitter.rest)
+        exchange.write(job.splitter.partial)
         job.answer = answer
         return None
 
--- a/packages/gateway/ibisring_gateway/settings.py
+++ b/packages/gateway/ibisring_gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway process, checked before anything starts."""
+"""Settings of a gateway process, validated before it starts."""
 
 __all__ = ['Settings', 'load', 'check']
 
@@ -13,10 +13,10 @@
 
 
 class Settings(msgspec.Struct, kw_only=True):
-    """Everything a gateway is told at its start.
+    """Settings of a gateway.
 
-    Names that end in `_ms` are milliseconds, in `_s` seconds.  What the file
-    leaves out, or gives as null, has the default below.
+    Fields that end in `_ms` are in milliseconds, in `_s` in seconds.  Fields
+    that the file omits, or sets to null, get the defaults below.
     """
 
     router_id: str
@@ -29,22 +29,23 @@
     metrics_port: int = 9464
     descriptors: int = 4200
     memory_mb: int = 300
-    # Speed of the VM's link in Mbit/s, 0 if it is not known.
+    # Bandwidth of the VM's network link in Mbit/s, 0 if it is unknown.
     link: float = 0.0
-    # Longest time after a leaving endpoint's notice to send it requests.
+    # Longest time for which a draining endpoint still gets requests after it
+    # announced that it leaves.
     drain_ms: float = 2000.0
-    # Between the request to end a process and its forced end.
+    # Between the request to stop a process and killing it.
     grace_s: float = 8.0
     repeat_ratio: float = 0.2
     repeat_window_s: float = 10.0
     repeat_slack: float = 64.0
-    # Beyond the time that a call waits for changes, until it is given up.
+    # Timeout of a long poll for changes, in addition to its waiting time.
     feed_margin_s: float = 0.6
     log_level: str = 'INFO'
 
 
 def load(path):
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
@@ -53,15 +54,15 @@
     try:
         with open(path, 'rb') as file:
             values = msgspec.json.decode(file.read(), type=dict)
-        given = {k: v for k, v in values.items() if v is not None}
-        settings = msgspec.convert(given, Settings)
+        present = {k: v for k, v in values.items() if v is not None}
+        settings = msgspec.convert(present, Settings)
     except (OSError, msgspec.MsgspecError) as error:
         raise exceptions.InvalidSetting(f'{path}: {error}') from error
     return check(settings)
 
 
 def check(settings):
-    """Refuse settings that can't work, naming the field.
+    """Reject invalid settings with an error that names the field.
 
     Examples
     --------
--- a/packages/gateway/ibisring_gateway/tests/test_jobs.py
+++ b/packages/gateway/ibisring_gateway/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of what a router says of a request that it served."""
+"""Tests of the state of a request while it is served."""
 
 import pytest
 
@@ -21,31 +21,31 @@
 
 
 @pytest.mark.parametrize(
-    ('times', 'late'),
+    ('times', 'reason'),
     [
         ((), None),
         ((10.1, 10.2, 10.3), None),
-        ((10.6, 10.7), jobs.Late.FIRST),
-        ((10.1, 10.4, 10.5), jobs.Late.PAUSE),
-        ((10.6, 10.9), jobs.Late.FIRST),
+        ((10.6, 10.7), jobs.LateReason.FIRST),
+        ((10.1, 10.4, 10.5), jobs.LateReason.PAUSE),
+        ((10.6, 10.9), jobs.LateReason.FIRST),
     ],
 )
-def test_what_made_a_stream_late(times, late):
+def test_late_reason_of_a_stream(times, reason):
     job = _job()
     for now in times:
-        job.piece_came(now)
-    assert job.late is late
+        job.record_chunk(now)
+    assert job.late is reason
 
 
-def test_a_pause_between_two_attempts_counts():
-    """Symptom: streams that were late for their callers count as on time.
+def test_pause_between_attempts_counts():
+    """Guards against streams that were late but count as on time.
 
-    Sequence: an endpoint is lost; another goes on 0.4 s later.
-    Cause: pauses were measured within each attempt only.
+    When an endpoint is lost and another resumes 0.4 s later, the pause lies
+    between two attempts; measuring within each attempt would miss it.
     """
     job = _job()
-    job.piece_came(10.1)
+    job.record_chunk(10.1)
     job.splitter.restart()
-    job.piece_came(10.5)
+    job.record_chunk(10.5)
     assert job.longest_pause == pytest.approx(0.4)
-    assert job.late is jobs.Late.PAUSE
+    assert job.late is jobs.LateReason.PAUSE
--- a/packages/gateway/ibisring_gateway/tests/test_liveness.py
+++ b/packages/gateway/ibisring_gateway/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Tests of whether an endpoint has ended."""
+"""Tests of detecting crashed endpoints."""
 
 import socket
 
@@ -16,7 +16,7 @@
 
 
 class _Engines(builders.Engines):
-    """Engines that started at some time."""
+    """Engines that report a given start time."""
 
     def __init__(self, started):
         super().__init__()
@@ -30,30 +30,32 @@
     return f'127.0.0.1:{listener.getsockname()[1]}'
 
 
-def test_a_closed_port_is_an_end(listener):
+def test_closed_port_is_a_crash(listener):
     endpoint = build.endpoint(address=_address(listener))
     listener.close()
-    assert liveness.make_prober(builders.Engines()).has_ended(endpoint) is True
+    assert (
+        liveness.make_prober(builders.Engines()).has_crashed(endpoint) is True
+    )
 
 
-def test_an_endpoint_that_lives_only_lost_an_answer(listener):
+def test_open_port_is_no_crash(listener):
     endpoint = build.endpoint(address=_address(listener))
     prober = liveness.make_prober(builders.Engines())
-    assert prober.has_ended(endpoint) is False
+    assert prober.has_crashed(endpoint) is False
 
 
-def test_an_engine_that_started_again_has_ended(listener):
+def test_later_start_time_is_a_crash(listener):
     engine = build.held_endpoint(
         'e', 0, 8, address=_address(listener), started=7
     )
-    assert liveness.make_prober(_Engines(9)).has_ended(engine) is True
-    assert liveness.make_prober(_Engines(7)).has_ended(engine) is False
+    assert liveness.make_prober(_Engines(9)).has_crashed(engine) is True
+    assert liveness.make_prober(_Engines(7)).has_crashed(engine) is False
 
 
-def test_one_that_does_not_answer_is_not_taken_for_ended(listener):
+def test_missing_status_is_unknown(listener):
     engine = build.held_endpoint(
         'e', 0, 8, address=_address(listener), started=7
     )
     engines = builders.Engines()
     engines.unreachable.add(engine.address)
-    assert liveness.make_prober(engines).has_ended(engine) is None
+    assert liveness.make_prober(engines).has_crashed(engine) is None
--- a/packages/gateway/ibisring_gateway/tests/test_logwriter.py
+++ b/packages/gateway/ibisring_gateway/tests/test_logwriter.py
@@ -8,11 +8,11 @@
 from ibisring_gateway.tests import builders
 
 
-class _Stuck(io.StringIO):
-    """A stream that nobody reads: writing to it would never end."""
+class _UnreadStream(io.StringIO):
+    """A stream that nobody reads; a real write to it would block."""
 
     def write(self, text):
-        raise AssertionError('written in the thread of a request')
+        raise AssertionError('write in the thread that logs')
 
 
 def _record(number):
@@ -21,31 +21,31 @@
     return record
 
 
-def test_a_stuck_reader_holds_nobody_up():
-    """Symptom: all requests stop when the log collector does.
+def test_stalled_log_reader_does_not_block_callers():
+    """Guards against requests that block when the log collector stops.
 
-    Sequence: the reader of standard output stops; its pipe is full.
-    Cause: the thread that serves a request writes the line itself.
+    Standard output is a full pipe then; a thread that serves a request and
+    writes its log line directly would block on it.
     """
     clock = builders.Clock()
-    writer = logwriter.Writer(_Stuck(), clock)
+    writer = logwriter.LogWriter(_UnreadStream(), clock)
     for number in range(10_000):
         clock.now += 0.02
         writer.handle(_record(number))
-    assert writer.waiting.qsize() == logwriter.MOST_WAITING
-    assert writer.dropped == 10_000 - logwriter.MOST_WAITING
+    assert writer.line_queue.qsize() == logwriter.MAX_QUEUED_LINES
+    assert writer.dropped == 10_000 - logwriter.MAX_QUEUED_LINES
 
 
-def test_a_burst_of_lines_is_bounded_and_counted():
+def test_burst_beyond_the_limit_is_dropped_and_counted():
     clock = builders.Clock()
-    writer = logwriter.Writer(io.StringIO(), clock)
+    writer = logwriter.LogWriter(io.StringIO(), clock)
     for number in range(5_000):
         writer.handle(_record(number))
-    assert writer.waiting.qsize() == logwriter.BURST
+    assert writer.line_queue.qsize() == logwriter.BURST_LINES
     clock.now += 1.0
     writer.handle(_record(5_000))
     line = None
-    while not writer.waiting.empty():
-        line = json.loads(writer.waiting.get().getMessage())
-    assert line['lines_dropped_before'] == 5_000 - logwriter.BURST
-    assert writer.dropped == 5_000 - logwriter.BURST
+    while not writer.line_queue.empty():
+        line = json.loads(writer.line_queue.get().getMessage())
+    assert line['lines_dropped_before'] == 5_000 - logwriter.BURST_LINES
+    assert writer.dropped == 5_000 - logwriter.BURST_LINES
--- a/packages/gateway/ibisring_gateway/tests/test_screening.py
+++ b/packages/gateway/ibisring_gateway/tests/test_screening.py
@@ -1,4 +1,4 @@
-"""Tests of keeping requests that end their endpoints from being sent on."""
+"""Tests of stopping requests that crash their endpoints."""
 
 import types
 
@@ -14,20 +14,22 @@
 
 
 class _Prober:
-    """Says of each endpoint what it is told to."""
+    """Gives the same result for each endpoint."""
 
-    def __init__(self, has_ended):
-        self.answer = has_ended
-        self.asked = 0
+    def __init__(self, has_crashed):
+        self.answer = has_crashed
+        self.checked = 0
 
-    def has_ended(self, endpoint):
-        self.asked += 1
+    def has_crashed(self, endpoint):
+        self.checked += 1
         return self.answer
 
 
-def _screen(has_ended=True):
+def _screen(has_crashed=True):
     view = builders.make_view([])
-    return screening.make_screen(view, _Prober(has_ended), builders.Metrics())
+    return screening.make_screen(
+        view, _Prober(has_crashed), builders.Metrics()
+    )
 
 
 def _job(screen, begun=False, after_event=None):
@@ -47,81 +49,83 @@
     return attempt
 
 
-def _ends(screen):
+def _crashes(screen):
     return screen.verdict(_job(screen)).ends
 
 
-def test_an_end_before_any_answer_counts_and_is_told_at_once():
+def test_crash_before_an_answer_counts_and_is_reported():
     screen = _screen()
-    told = []
-    screen.on_found = lambda: told.append(True)
-    assert screen.lost(_job(screen), _attempt(screen)) is True
-    assert _ends(screen) == 1 and told
-
-
-@pytest.mark.parametrize('has_ended', [False, None])
-def test_a_lost_answer_alone_speaks_against_nobody(has_ended):
-    """Failure: a lossy link or a freeze makes a request a suspect."""
-    screen = _screen(has_ended)
-    assert screen.lost(_job(screen), _attempt(screen)) is has_ended
-    assert _ends(screen) == 0
+    updates = []
+    screen.on_update = lambda: updates.append(True)
+    assert screen.check_lost_answer(_job(screen), _attempt(screen)) is True
+    assert _crashes(screen) == 1 and updates
+
+
+@pytest.mark.parametrize('has_crashed', [False, None])
+def test_lost_answer_without_a_crash_does_not_count(has_crashed):
+    """Guards against a lossy link or a stall making a request a suspect."""
+    screen = _screen(has_crashed)
+    assert (
+        screen.check_lost_answer(_job(screen), _attempt(screen)) is has_crashed
+    )
+    assert _crashes(screen) == 0
 
 
 @pytest.mark.parametrize('changes', [{'begun': True}, {'after_event': 4}])
-def test_a_stream_that_was_delivered_in_part_is_not_at_fault(changes):
-    """Failure: a stream is refused since each engine that resumes it ends."""
+def test_partly_delivered_stream_is_not_blamed(changes):
+    """Guards against refusing a stream whose engines crash one by one."""
     screen = _screen()
-    screen.lost(_job(screen, **changes), _attempt(screen))
-    assert _ends(screen) == 0
+    screen.check_lost_answer(_job(screen, **changes), _attempt(screen))
+    assert _crashes(screen) == 0
 
 
-def test_an_end_long_after_the_sending_counts_for_nothing():
+def test_crash_long_after_sending_does_not_count():
     screen = _screen()
-    screen.lost(_job(screen), _attempt(screen, ran=5.0))
-    assert _ends(screen) == 0
+    screen.check_lost_answer(_job(screen), _attempt(screen, ran=5.0))
+    assert _crashes(screen) == 0
 
 
-def test_nobody_is_asked_about_what_this_router_ended():
+def test_attempt_ended_by_this_router_is_not_checked():
     screen = _screen()
     attempt = _attempt(screen)
     attempt.end = attempts.End.CALLER_GONE
-    assert screen.lost(_job(screen), attempt) is None
-    assert screen.prober.asked == 0
+    assert screen.check_lost_answer(_job(screen), attempt) is None
+    assert screen.prober.checked == 0
 
 
-def test_the_third_end_refuses_for_a_told_time():
+def test_third_crash_refuses_with_retry_after():
     screen = _screen()
     for number in range(3):
-        screen.lost(_job(screen), _attempt(screen, f'e{number}'))
+        screen.check_lost_answer(_job(screen), _attempt(screen, f'e{number}'))
     job = _job(screen)
-    assert not screen.passes(job)
+    assert not screen.wait_until_allowed(job)
     assert screen.retry_after(job) > 500.0
 
 
-def test_a_stream_under_way_is_not_broken_off():
-    """Failure: a caller loses half an answer to a body that was refused."""
+def test_running_stream_is_not_refused():
+    """Guards against truncating an answer because its request is refused."""
     screen = _screen()
     for number in range(3):
-        screen.lost(_job(screen), _attempt(screen, f'e{number}'))
-    assert screen.passes(_job(screen, begun=True))
+        screen.check_lost_answer(_job(screen), _attempt(screen, f'e{number}'))
+    assert screen.wait_until_allowed(_job(screen, begun=True))
 
 
-def test_an_answer_clears_a_suspect():
+def test_answer_clears_a_suspect():
     screen = _screen()
     for number in range(2):
-        screen.lost(_job(screen), _attempt(screen, f'e{number}'))
-    screen.answered(_job(screen))
-    assert _ends(screen) == 0
+        screen.check_lost_answer(_job(screen), _attempt(screen, f'e{number}'))
+    screen.record_answer(_job(screen))
+    assert _crashes(screen) == 0
 
 
-def test_a_suspect_at_an_endpoint_keeps_others_away_from_it():
+def test_endpoint_with_a_suspect_is_at_risk_for_others():
     screen = _screen()
-    screen.lost(_job(screen), _attempt(screen, 'e1'))
+    screen.check_lost_answer(_job(screen), _attempt(screen, 'e1'))
     job = _job(screen)
-    assert screen.passes(job) and job.is_suspect
-    screen.begin(job, _attempt(screen, 'e2'))
+    assert screen.wait_until_allowed(job) and job.is_suspect
+    screen.record_start(job, _attempt(screen, 'e2'))
     known = screen.view.suspects
     assert known.endpoints_at_risk(b'another!') == {'e2'}
     assert known.endpoints_at_risk(DIGEST) == set()
-    screen.finish(job)
+    screen.record_end(job)
     assert known.endpoints_at_risk(b'another!') == set()
--- a/packages/gateway/ibisring_gateway/upstream.py
+++ b/packages/gateway/ibisring_gateway/upstream.py
@@ -1,6 +1,14 @@
-"""Connections to endpoints over urllib3, one request on each at a time."""
+"""Pool of connections to endpoints, on urllib3.
 
-__all__ = ['ConnectionPool', 'Failed', 'make_connection_pool', 'read_piece']
+Each connection carries one request at a time.
+"""
+
+__all__ = [
+    'ConnectionPool',
+    'ConnectionFailed',
+    'make_connection_pool',
+    'read_chunk',
+]
 
 import logging
 import select
@@ -13,31 +21,31 @@
 from urllib3 import util as urllib3_util
 
 LOG = logging.getLogger(__name__)
-# Seconds to connect.  Endpoints are within a millisecond or two; this leaves
-# room for a busy one, and is short enough to try another within the time
-# that a caller calls on time.
-CONNECT_TIMEOUT = 0.2
-# Idle seconds after which a connection is not used again: endpoints close
-# idle ones, sooner than they say at times.
-MOST_IDLE = 2.0
-MOST_KEPT = 4
-# Without acknowledgement for so long, in ms, the kernel gives a connection
-# up; the peer has no power or is cut off.
+# Seconds.  The network round trip to an endpoint takes a millisecond or two;
+# this leaves a margin for a busy one, and is short enough to try another
+# endpoint within the caller's objective.
+CONNECT_TIMEOUT_SECONDS = 0.2
+# Idle connections are not reused after this time: endpoints close them,
+# sometimes sooner than their announced timeout.
+MAX_IDLE_SECONDS = 2.0
+MAX_IDLE_PER_ENDPOINT = 4
+# The kernel closes a connection on which sent data stays unacknowledged for
+# this time; the peer has lost power or is unreachable.
 USER_TIMEOUT_MS = 3000
-# urllib3 adds these unless told not to; the endpoint must get what the
-# caller sent and nothing else.
-_NOT_ADDED = {
+# urllib3 adds these headers by default; the endpoint must get exactly the
+# headers that the caller sent.
+_SUPPRESSED_HEADERS = {
     'Accept-Encoding': urllib3_util.SKIP_HEADER,
     'User-Agent': urllib3_util.SKIP_HEADER,
 }
-_OPTIONS = [
+_SOCKET_OPTIONS = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
 ]
 
 
-class Failed(Exception):
-    """A connection failed; `sent` says whether a byte may have gone out."""
+class ConnectionFailed(Exception):
+    """A connection failed; `sent`: whether the endpoint may have got data."""
 
     def __init__(self, detail, sent):
         super().__init__(detail)
@@ -45,7 +53,7 @@
 
 
 class ConnectionPool:
-    """Makes and keeps connections by endpoint.
+    """Opens connections and keeps idle ones, by endpoint.
 
     Parameters
     ----------
@@ -55,35 +63,38 @@
     def __init__(self, clock=time.monotonic):
         self.clock = clock
         self.lock = threading.Lock()
-        self.kept = {}
+        self.idle = {}
 
-    def take(self, endpoint, fresh):
-        """Give a connection to an endpoint.
+    def acquire(self, endpoint, fresh):
+        """Return a connection to an endpoint.
 
         Parameters
         ----------
         endpoint : routing.Endpoint
         fresh : bool
-            Never used before.  A kept one may have died without a sign, and
-            then nobody knows whether a request sent on it ran.
+            Open a new connection.  A reused one may be dead without notice,
+            and it is then unknown whether a request sent on it ran.
 
         Raises
         ------
         Failed
         """
         if not fresh:
-            kept = self._reuse(endpoint)
-            if kept is not None:
-                return kept
+            idle = self._reuse(endpoint)
+            if idle is not None:
+                return idle
         host, _, port = endpoint.address.rpartition(':')
         conn = urllib3_connection.HTTPConnection(
-            host, int(port), timeout=CONNECT_TIMEOUT, socket_options=_OPTIONS
+            host,
+            int(port),
+            timeout=CONNECT_TIMEOUT_SECONDS,
+            socket_options=_SOCKET_OPTIONS,
         )
         try:
             conn.connect()
         except (urllib3_exceptions.HTTPError, OSError) as error:
             conn.close()
-            raise Failed(str(error), False) from error
+            raise ConnectionFailed(str(error), False) from error
         conn.reused = False
         return conn
 
@@ -91,35 +102,35 @@
         now = self.clock()
         while True:
             with self.lock:
-                kept = self.kept.get((endpoint.id, endpoint.address))
-                if not kept:
+                idle = self.idle.get((endpoint.id, endpoint.address))
+                if not idle:
                     return None
-                conn, idle_since = kept.pop()
-            if now - idle_since < MOST_IDLE and _is_quiet(conn):
+                conn, idle_since = idle.pop()
+            if now - idle_since < MAX_IDLE_SECONDS and _has_no_data(conn):
                 conn.reused = True
                 return conn
             conn.close()
 
-    def give_back(self, endpoint, conn):
-        """Keep a connection whose answer was read to its end."""
+    def release(self, endpoint, conn):
+        """Return a connection whose answer was read completely."""
         key = endpoint.id, endpoint.address
         with self.lock:
-            kept = self.kept.setdefault(key, [])
-            if len(kept) < MOST_KEPT:
-                kept.append((conn, self.clock()))
+            idle = self.idle.setdefault(key, [])
+            if len(idle) < MAX_IDLE_PER_ENDPOINT:
+                idle.append((conn, self.clock()))
                 return
         conn.close()
 
     def close_except(self, keep):
-        """Close the connections of endpoints that are gone."""
+        """Close the idle connections to endpoints not in `keep`."""
         with self.lock:
-            gone = [key for key in self.kept if key[0] not in keep]
-            conns = [pair[0] for key in gone for pair in self.kept.pop(key)]
+            stale = [key for key in self.idle if key[0] not in keep]
+            conns = [pair[0] for key in stale for pair in self.idle.pop(key)]
         for conn in conns:
             conn.close()
 
     def send(self, conn, request, headers, time_left):
-        """Send a request and read the head of its answer.
+        """Send a request and read status and headers of the answer.
 
         Returns
         -------
@@ -136,7 +147,7 @@
                 request.method,
                 request.target,
                 body=request.body or None,
-                headers={**_NOT_ADDED, **headers},
+                headers={**_SUPPRESSED_HEADERS, **headers},
                 preload_content=False,
                 decode_content=False,
             )
@@ -145,30 +156,32 @@
             urllib3_exceptions.HTTPError,
             OSError,
             ValueError,
-            *_PARSING,
+            *_HTTP_ERRORS,
         ) as error:
-            raise Failed(f'{type(error).__name__}: {error}', True) from error
+            raise ConnectionFailed(
+                f'{type(error).__name__}: {error}', True
+            ) from error
 
 
-_PARSING = (urllib3_connection.HTTPException,)
+_HTTP_ERRORS = (urllib3_connection.HTTPException,)
 
 
-def _is_quiet(conn):
-    """Say whether nothing has come on an idle connection.
+def _has_no_data(conn):
+    """Return whether an idle connection has nothing to read.
 
-    Bytes after a whole answer belong to no request, and an end of stream
-    means that the endpoint has closed it.
+    Data after a complete answer belongs to no request, and end of file
+    means that the endpoint has closed the connection.
     """
     try:
         readable, _, _ = select.select([conn.sock], [], [], 0)
     except (OSError, ValueError, TypeError) as error:
-        LOG.debug('kept connection is unusable: %s', error)
+        LOG.debug('idle connection is unusable: %s', error)
         return False
     return not readable
 
 
-def read_piece(response):
-    """Give the next bytes of a body, b'' at its end.
+def read_chunk(response):
+    """Return the next chunk of a body, b'' at its end.
 
     Raises
     ------
@@ -181,9 +194,11 @@
         OSError,
         ValueError,
         AttributeError,
-        *_PARSING,
+        *_HTTP_ERRORS,
     ) as error:
-        raise Failed(f'{type(error).__name__}: {error}', True) from error
+        raise ConnectionFailed(
+            f'{type(error).__name__}: {error}', True
+        ) from error
 
 
 def make_connection_pool(clock=time.monotonic):
