--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -1,6 +1,6 @@
-"""Finding out which stage of a silent request is lost, and going round it."""
+"""Detection of lost stages of silent requests, and rerouting around them."""
 
-__all__ = ['Doctor', 'make_doctor']
+__all__ = ['StallHandler', 'make_stall_handler']
 
 import concurrent.futures
 import logging
@@ -12,25 +12,25 @@
 from ibisring_router import logs
 
 LOG = logging.getLogger(__name__)
-# A stage vouched for by another request's event within so many seconds.
+# Seconds for which an event of another request shows that a stage is alive.
 VOUCHES = 0.05
-# If so many of the stages asked fail at once, it is more likely that this
-# router is slow or cut off than that they all died.
+# If more than this share of the stages queried fail at once, this router is
+# more likely slow or disconnected than all of them are down.
 MOST_LOST_SHARE = 0.7
-# Seconds to wait after a repair, and after the first look that found nothing
-# wrong; each further look waits twice as long.
+# Seconds until the next check after stages were replaced, and after the first
+# check that found nothing wrong; the wait doubles with each further check.
 AFTER_REPAIR = 0.25
 AFTER_LOOK = 0.06
-# Looks that find nothing before the request is sent elsewhere: a stalled
-# stage answers its status while its own links are gone.
+# Checks without a finding before the request is sent elsewhere: a stage that
+# has lost its own links to other stages still answers status queries.
 MOST_LOOKS = 4
 WORKERS = 24
-# Times that a request is moved off engines that leave.
+# Limit of the times that a request is moved off engines that leave.
 MOST_MOVES = 3
 
 
-class Doctor:
-    """Looks at the stages of silent attempts.
+class StallHandler:
+    """Checks the stages of silent attempts and replaces lost ones.
 
     Parameters
     ----------
@@ -52,12 +52,12 @@
         self.asker = asking.make_asker(view, engines, metrics)
 
     def stop(self):
-        """End the threads."""
+        """Shut the thread pools down without waiting."""
         self.pool.shutdown(wait=False, cancel_futures=True)
         self.asker.stop()
 
-    def silent(self, attempt):
-        """Take an attempt on; returns at once."""
+    def handle(self, attempt):
+        """Check a silent attempt in the background."""
         self.pool.submit(self._examine, attempt)
 
     def _examine(self, attempt):
@@ -65,17 +65,17 @@
             if attempt.stages:
                 self._examine_chain(attempt)
             else:
-                attempt.break_off(attempts.End.SILENT)
+                attempt.break_off(attempts.Result.SILENT)
         except Exception:
             LOG.exception('examination_failed %s', attempt.request_id)
         finally:
             attempt.looking = False
 
     def _examine_chain(self, attempt):
-        attempt.looks += 1
+        attempt.checks += 1
         lost = self._find_lost(attempt)
         now = self.clock()
-        if attempt.end is not None:
+        if attempt.result is not None:
             return
         if not lost:
             self._nothing_found(attempt, now)
@@ -85,46 +85,46 @@
             'stages_lost',
             id=attempt.request_id,
             lost=sorted(lost),
-            silent_ms=round((now - attempt.last_at) * 1000.0),
+            silent_ms=round((now - attempt.last_event_at) * 1000.0),
             events=attempt.events,
         )
         if attempt.endpoint.id in lost:
-            attempt.break_off(attempts.End.SILENT)
+            attempt.break_off(attempts.Result.SILENT)
             return
-        # A path with a stage that was given up is refused, so those that are
-        # not at fault have to be replaced as well.
+        # Engines refuse a path with a stage that is leaving or has given up
+        # its layers, so such stages are replaced along with the lost ones.
         lost |= _leaving(attempt, self.view.snapshot.endpoints)
         is_head = attempt.endpoint.id in lost
         if is_head or not self._go_round(attempt, lost):
             self._start_elsewhere(attempt, now)
 
     def _start_elsewhere(self, attempt, now):
-        """End an attempt that can't be moved, if another can take its place.
+        """End an attempt that can't be rerouted, if another chain has room.
 
-        While no chain has room the stall is waited out: the lost layers may
-        be loaded elsewhere before the caller gives up.
+        Otherwise the attempt stays: the lost layers may be loaded elsewhere
+        before the caller gives up.
         """
         if self.selector.has_alternative(attempt, now):
-            attempt.break_off(attempts.End.SILENT)
+            attempt.break_off(attempts.Result.SILENT)
         else:
-            attempt.silent_at = now + AFTER_LOOK
+            attempt.check_at = now + AFTER_LOOK
 
     def _nothing_found(self, attempt, now):
-        if attempt.looks > MOST_LOOKS and self.selector.has_alternative(
+        if attempt.checks > MOST_LOOKS and self.selector.has_alternative(
             attempt, now
         ):
-            attempt.break_off(attempts.End.SILENT)
+            attempt.break_off(attempts.Result.SILENT)
             return
-        looks = min(MOST_LOOKS, attempt.looks)
-        attempt.silent_at = now + AFTER_LOOK * 2 ** (looks - 1)
+        looks = min(MOST_LOOKS, attempt.checks)
+        attempt.check_at = now + AFTER_LOOK * 2 ** (looks - 1)
 
     def _find_lost(self, attempt):
-        """Give the ids of stages that do not answer."""
+        """Return the ids of the stages that do not answer."""
         by_id = self.view.snapshot.endpoints
         names = [stage.endpoint for stage in attempt.stages]
         with self.view.lock:
             gone = {n for n in names if n not in by_id}
-            gone |= {n for n in names if self.view.book.is_dead(n)}
+            gone |= {n for n in names if self.view.estimates.is_dead(n)}
         vouched = self._vouched(attempt)
         asked = [by_id[n] for n in names if n not in gone | vouched]
         questions = [self.asker.ask(endpoint) for endpoint in asked]
@@ -142,32 +142,38 @@
         with self.view.lock:
             for endpoint in asked:
                 if endpoint.id in lost:
-                    self.view.book.unreachable(endpoint.id, now)
+                    self.view.estimates.note_unreachable(endpoint.id, now)
                 else:
-                    self.view.book.reached(endpoint.id, now)
+                    self.view.estimates.note_reachable(endpoint.id, now)
         return lost | gone
 
     def _vouched(self, attempt):
-        """Give the stages through which other requests' events just came.
+        """Return the stages of other requests that had an event just now.
 
-        Asking a stage costs its engine and this router time; one that
-        delivers for others lives.  An event takes up to its whole time of
-        passage from a stage to here, so one that came right after the last
-        of this request says nothing of what happened since.
+        A status query costs time at the engine and here, and a stage that
+        delivers events for others is alive.  An event may be in transit for
+        up to `mean_gap`, so one that arrived right after the last event of
+        this request proves nothing about the time since.
         """
-        since = max(attempt.last_at + attempt.pace, self.clock() - VOUCHES)
+        since = max(
+            attempt.last_event_at + attempt.mean_gap, self.clock() - VOUCHES
+        )
         found = set()
         for other in self.watcher.all():
-            if other is not attempt and other.events and other.last_at > since:
+            if (
+                other is not attempt
+                and other.events
+                and other.last_event_at > since
+            ):
                 found.update(stage.endpoint for stage in other.stages)
         return found
 
-    def look_round(self):
-        """Move requests off stages that are leaving; ask the dead again.
+    def run_checks(self):
+        """Move requests off leaving stages; probe unreachable engines.
 
-        Called now and then.  An engine that leaves, or gives layers up,
-        waits for the requests that pass through it, and cuts them in the
-        end; moving them early costs a prompt read once more.
+        Called periodically.  An engine that leaves or gives up layers waits
+        for the requests that pass through it and finally cuts them off;
+        moving them early costs only a second prefill of the prompt.
         """
         snapshot = self.view.snapshot
         for attempt in self.watcher.all():
@@ -180,8 +186,8 @@
                     self.pool.submit(self._evacuate, attempt, leaving)
         with self.view.lock:
             now = self.clock()
-            names = self.view.book.to_revive(snapshot.endpoints, now)
-            slow = self.view.book.to_ask_pace(now)
+            names = self.view.estimates.dead_to_probe(snapshot.endpoints, now)
+            slow = self.view.estimates.slow_to_probe(now)
         for name in names:
             self.asker.revive(snapshot.endpoints[name])
         for name in slow:
@@ -195,8 +201,8 @@
                 attempt.moves += 1
                 attempt.stuck = None
             elif not self._clear_out(attempt):
-                # Asked again once other engines leave, not at every look:
-                # an attempt would have used up its moves when it needs one.
+                # Retried only when the set of leaving engines changes, not
+                # at every check, so that failing tries don't use up moves.
                 attempt.stuck = leaving
         except Exception:
             LOG.exception('evacuation_failed %s', attempt.request_id)
@@ -204,15 +210,15 @@
             attempt.looking = False
 
     def _clear_out(self, attempt):
-        """End an attempt that keeps an engine from its new layers.
+        """End an attempt that keeps an engine from loading new layers.
 
-        An engine that was ordered to hold other layers loads them only when
-        the requests that pass through it have ended: ten seconds, in which
-        its failure domain lacks them.  The request goes on elsewhere.
-        One whose engine is about to end may finish there instead.
+        An engine ordered to hold other layers loads them only when the
+        requests that pass through it have ended; for up to ten seconds its
+        failure domain lacks these layers.  The request continues elsewhere.
+        An attempt on an engine that is shutting down may finish there.
         """
         endpoints = self.view.snapshot.endpoints
-        if not attempt.may_leave or not _gave_up(attempt, endpoints):
+        if not attempt.may_change_endpoint or not _gave_up(attempt, endpoints):
             return False
         if not self.selector.has_alternative(attempt, self.clock()):
             return False
@@ -222,11 +228,11 @@
             id=attempt.request_id,
             engines=sorted(_gave_up(attempt, endpoints)),
         )
-        attempt.break_off(attempts.End.SILENT)
+        attempt.break_off(attempts.Result.SILENT)
         return True
 
     def _go_round(self, attempt, lost):
-        """Move the request to other stages behind the same first one."""
+        """Replace lost stages of a request, keeping its first one."""
         stages = self.selector.replace_stages(attempt, lost, self.clock())
         if stages is None or stages == attempt.stages:
             logs.event(
@@ -244,18 +250,18 @@
             lost=sorted(lost),
             stages=[f'{s.endpoint}={s.first}-{s.end}' for s in stages],
             result=result.value,
-            silent_ms=round((self.clock() - attempt.last_at) * 1000.0),
+            silent_ms=round((self.clock() - attempt.last_event_at) * 1000.0),
         )
         if result not in (ports.OrderResult.BEGUN, ports.OrderResult.DONE):
             return False
-        if attempt.end is None:
+        if attempt.result is None:
             self.selector.change_stages(attempt, stages)
-            attempt.silent_at = self.clock() + AFTER_REPAIR
+            attempt.check_at = self.clock() + AFTER_REPAIR
         return True
 
 
 def _leaving(attempt, endpoints):
-    """Give the stages whose engines leave or give their layers up."""
+    """Return the stages whose engines leave or have given up their layers."""
     found = set()
     for stage in attempt.stages:
         endpoint = endpoints.get(stage.endpoint)
@@ -265,7 +271,7 @@
 
 
 def _gave_up(attempt, endpoints):
-    """Give the engines that live but no longer hold the layers they run."""
+    """Return the running engines that no longer hold their stage's layers."""
     found = set()
     for stage in attempt.stages:
         endpoint = endpoints.get(stage.endpoint)
@@ -277,6 +283,6 @@
     return found
 
 
-def make_doctor(view, engines, selector, watcher, metrics):
-    """Make a `Doctor`."""
-    return Doctor(view, engines, selector, watcher, metrics)
+def make_stall_handler(view, engines, selector, watcher, metrics):
+    """Make a `StallHandler`."""
+    return StallHandler(view, engines, selector, watcher, metrics)
--- a/packages/gateway/ibisring_gateway/ports.py
+++ b/packages/gateway/ibisring_gateway/ports.py
@@ -114,7 +114,7 @@
 
     @abc.abstractmethod
     def read_lease(self):
-        """Return the `ordering.LeaseRow`, None if there is none yet."""
+        """Return the `layerorders.LeaseRow`, None if there is none yet."""
 
     @abc.abstractmethod
     def write_lease(self, row):
@@ -122,7 +122,7 @@
 
         Returns
         -------
-        ordering.LeaseRow or None
+        layerorders.LeaseRow or None
             The row with its new version; None if another router wrote first.
 
         Raises
--- a/packages/gateway/ibisring_gateway/screening.py
+++ b/packages/gateway/ibisring_gateway/screening.py
@@ -60,11 +60,11 @@
         end = min(job.deadline, self.clock() + MAX_WAIT_SECONDS)
         while True:
             verdict = self.verdict(job)
-            job.is_suspect = verdict.ends > 0
+            job.is_suspect = verdict.crashes > 0
             if verdict.refused_until:
                 return False
             now = self.clock()
-            must_wait = verdict.is_running or now < verdict.begins_at
+            must_wait = verdict.is_running or now < verdict.not_before
             if not must_wait or now >= end:
                 return True
             time.sleep(POLL_SECONDS)
@@ -81,22 +81,24 @@
         """Record that a suspect is being sent to an endpoint."""
         if job.is_suspect and not job.exchange.begun:
             with self.view.lock:
-                self.view.suspects.begin(job.digest, attempt.endpoint.id)
+                self.view.suspects.mark_running(
+                    job.digest, attempt.endpoint.id
+                )
 
     def record_end(self, job):
         """Record that an attempt is over."""
         if job.is_suspect:
             with self.view.lock:
-                self.view.suspects.finish(job.digest)
+                self.view.suspects.mark_finished(job.digest)
 
     def record_answer(self, job):
         """Record that an endpoint has answered a request, or begun to."""
         with self.view.lock:
             known = self.view.suspects
-            before = known.found
-            known.finish(job.digest)
+            before = known.local_changes
+            known.mark_finished(job.digest)
             known.answered(job.digest, self.clock())
-            found = known.found > before
+            found = known.local_changes > before
         if found:
             self._log_suspect(job.digest, 0)
             self.on_update()
@@ -112,7 +114,7 @@
             Whether the endpoint has crashed; None if that was not checked or
             is unknown.
         """
-        if attempt.end is not None or attempt.events:
+        if attempt.result is not None or attempt.events:
             return None
         has_crashed = self.prober.has_crashed(attempt.endpoint)
         if has_crashed and self._may_be_cause(job, attempt):
@@ -126,17 +128,17 @@
         """
         if job.exchange.begun or job.request.after_event:
             return False
-        return self.clock() - attempt.sent_at < suspects.SOON
+        return self.clock() - attempt.sent_at < suspects.LOST_ANSWER_SECONDS
 
     def _record_crash(self, job, endpoint):
         now = self.clock()
         with self.view.lock:
             known = self.view.suspects
-            before, forgotten = known.found, known.forgotten
-            known.ended(job.digest, endpoint.id, endpoint.started, now)
-            found = known.found > before
-            ends = known.verdict(job.digest, now).ends
-            forgotten = known.forgotten - forgotten
+            before, forgotten = known.local_changes, known.evicted
+            known.crashed(job.digest, endpoint.id, endpoint.started, now)
+            found = known.local_changes > before
+            ends = known.verdict(job.digest, now).crashes
+            forgotten = known.evicted - forgotten
         if forgotten:
             self.metrics.count('suspects_forgotten', forgotten)
         if found:
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of how long a router waits for the store, and whom it asks."""
+"""Tests of tracking peer routers and fetching state from them."""
 
 import msgspec
 import pytest
@@ -11,26 +11,30 @@
 from ibisring_gateway import settings as settings_module
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import catchup
-from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
+from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import routing
 
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWED = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 
 
 def _reads():
-    return sharing.Role.READS
+    return storereaders.Role.READS
 
 
 def _hear(known, name, domain, touch, at, lost_ms=None, standing=None):
-    """Have a router hear another one."""
-    neighbour = sharing.Neighbour(name, standing) if standing else None
-    heard = hearing.Heard(
-        name=name, domain=domain, at=at, touch=touch, neighbour=neighbour
+    """Have a router receive a datagram of another one."""
+    neighbour = storereaders.Neighbour(name, standing) if standing else None
+    heard = peerreports.PeerReport(
+        name=name,
+        domain=domain,
+        received_at=at,
+        store_status=touch,
+        neighbour=neighbour,
     )
     known.heard(heard, f'{name}:1', lost_ms)
 
@@ -55,32 +59,32 @@
 
 
 def test_a_router_knows_its_place_among_those_that_read():
-    """Two of each domain read; all do while these have lost the store."""
+    """Two routers of each domain read, or all while these lost the store."""
     known = _peers()
     clock = builders.Clock()
     known.view.clock = clock
-    known.hearing.begun_at = 0.0
-    served = sharing.Standing.SERVED
+    known.hearing.started_at = 0.0
+    served = storereaders.StoreAccess.SERVED
     for name, domain in (('q1', 'a'), ('r1', 'a'), ('s1', 'b'), ('t1', 'B')):
         _hear(known, name, domain, LOST, clock(), None, served)
-    assert known.place() == polling.Fleet(4, 2, 5)
+    assert known.polling_slot() == polling.Fleet(4, 2, 5)
     for name in ('q1', 'r1'):
-        lost = sharing.Standing.LOST
+        lost = storereaders.StoreAccess.LOST
         _hear(known, name, 'a', LOST, clock(), None, lost)
     known._judge_role(clock())
-    assert known.role() is sharing.Role.ASKS
-    assert known.place() == polling.Fleet(5, 1, 5)
+    assert known.role() is storereaders.Role.ASKS
+    assert known.polling_slot() == polling.Fleet(5, 1, 5)
     clock.now += 100.0
     known._judge_role(clock())
-    assert known.place() == polling.Fleet(1, 0, 1)
+    assert known.polling_slot() == polling.Fleet(1, 0, 1)
 
 
 def test_what_others_say_of_the_store_is_passed_on():
-    """Symptom: five of six routers hang on a store that one knows is lost.
+    """Failure: routers wait on a store that another one knows is lost.
 
-    Sequence: the store falls silent; one router's call ends, the others'
-    wait for seconds more, also after its return.
-    Cause: what a router told of the store was heard and not acted upon.
+    The store stops answering; one router's call times out, and the others
+    keep waiting for seconds, even after the store is back, because they
+    ignore the store status in that router's messages.
     """
     known = _peers()
     said = []
@@ -93,11 +97,10 @@
 
 
 def test_a_router_that_is_ahead_is_asked():
-    """Symptom: a revoked key works for as long as a call may wait.
+    """Failure: a revoked key works until the store call times out.
 
-    Sequence: the connection to the store falls silent for good; others
-    have read the change and tell its version.
-    Cause: only the own call's end would have shown it.
+    The connection to the store hangs; other routers have read the change
+    and send its version, but only the end of the own call is acted upon.
     """
     known = _peers()
     view = known.view
@@ -109,39 +112,44 @@
     news.table += 1
     telling.take(news, ('10.0.0.1', 7000))
     since = known.catchup.behind_since
-    assert known.catchup.ahead == 'r1'
+    assert known.catchup.newest_peer == 'r1'
     assert known.others()[0].address == '10.0.0.1:7000'
-    assert known.catchup.is_due(since + catchup.MOST_BEHIND, 0.0, 6)
-    known.catchup.forget(since + 10.0)
-    assert known.catchup.ahead is None
+    assert known.catchup.is_due(since + catchup.MAX_LAG_SECONDS, 0.0, 6)
+    known.catchup.expire(since + 10.0)
+    assert known.catchup.newest_peer is None
 
 
 def test_a_router_nearby_is_asked_first():
-    """Load: each change of 95 endpoints learnt by 88 routers from others.
+    """Failure: lists of endpoints are fetched across failure domains.
 
-    The list takes 14 KB; two thirds of them would cross between domains.
+    With 88 routers and 95 endpoints each change costs 88 lists of 14 KB, of
+    which two thirds would cross links between domains.
     """
     known = _peers()
     for name, domain in (('far', 'b'), ('near', 'a'), ('away', 'c')):
         _hear(known, name, domain, LOST, 10.0)
         known.behind(name, 10.0)
-    assert known.catchup.ahead == 'near'
+    assert known.catchup.newest_peer == 'near'
 
 
 @pytest.mark.parametrize('count', (6, 83))
 def test_what_others_know_of_the_store_is_forgotten(count):
-    """Symptom: nobody orders for seconds after a router was killed.
+    """Failure: no router sends orders for seconds after a router was killed.
 
-    Sequence: the store goes away with the router that would take the lead.
-    Cause: it counted as running for as long as in the bound on repeats.
+    The store fails together with the router that would take the lead, and
+    that router still counts as running, for as long as in the retry budget.
     """
     known = _peers()
     for number in range(1, count):
         _hear(known, f'r{number}', 'a', LOST, 10.0)
-    assert len(known.store_touches(11.0)) == count - 1
-    assert known.store_touches(10.0 + hearing.HEARD_FOR) == {}
+    assert len(known.store_statuses(11.0)) == count - 1
+    assert (
+        known.store_statuses(10.0 + peerreports.ROUTER_TIMEOUT_SECONDS) == {}
+    )
     if count == 6:
-        assert known.store_touches(10.0 + hearing.HEARD_LATELY) == {}
+        assert (
+            known.store_statuses(10.0 + peerreports.STORE_STATUS_SECONDS) == {}
+        )
 
 
 def test_holdings_that_engines_told_another_router_are_taken():
@@ -153,7 +161,7 @@
     data = msgspec.msgpack.encode(news)
     told_us = msgspec.msgpack.decode(data, type=gossip.Told)
     telling.take(told_us, ('10.0.0.1', 7))
-    assert told == [directory.Learnt('x', 5, routing.Holding(0, 8))]
+    assert told == [directory.HoldingReport('x', 5, routing.Holding(0, 8))]
     assert known.view.term == 4
 
 
@@ -165,11 +173,10 @@
 
 
 def test_what_another_router_gave_is_gone_on_from():
-    """Symptom: a router asks others for the whole list again and again.
+    """Failure: a router fetches the whole list from peers again and again.
 
-    Sequence: it misses one change and gets all endpoints from another
-    router; the next change is told from a version that it has by now.
-    Cause: how far it knows the table was noted for the store's answers only.
+    It misses one change and fetches all endpoints from a peer, but does not
+    record their version as known, so that it rejects the next change too.
     """
     known = _peers()
     for follower in known.followers.members.values():
@@ -182,10 +189,10 @@
 
 
 def test_store_and_routers_are_asked_in_turn():
-    """Failure: one of both can't give what was missed."""
+    """Failure: either the store or the peers can't provide what was missed."""
     known = catchup.make_catchup()
     asked = []
     for turn in range(4):
-        known.asked(turn, not known.asked_store)
-        asked.append(known.asked_store)
+        known.queried(turn, not known.queried_store)
+        asked.append(known.queried_store)
     assert asked == [True, False, True, False]
--- a/packages/gateway/ibisring_gateway/tests/test_screening.py
+++ b/packages/gateway/ibisring_gateway/tests/test_screening.py
@@ -50,7 +50,7 @@
 
 
 def _crashes(screen):
-    return screen.verdict(_job(screen)).ends
+    return screen.verdict(_job(screen)).crashes
 
 
 def test_crash_before_an_answer_counts_and_is_reported():
@@ -88,7 +88,7 @@
 def test_attempt_ended_by_this_router_is_not_checked():
     screen = _screen()
     attempt = _attempt(screen)
-    attempt.end = attempts.End.CALLER_GONE
+    attempt.result = attempts.Result.CALLER_GONE
     assert screen.check_lost_answer(_job(screen), attempt) is None
     assert screen.prober.checked == 0
 
