--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""A request from its first byte to its one final answer."""
+"""Serves a request: choice of endpoints, attempts, and the final answer."""
 
 __all__ = ['Forwarder', 'make_forwarder']
 
@@ -17,17 +17,18 @@
 from ibisring_web import serving
 
 LOG = logging.getLogger(__name__)
-# Seconds before a caller's own time limit at which it gets the final answer,
-# while it still listens.
-ANSWER_MARGIN = 0.02
-# A router that knows no configuration has just started and finds the store
-# away; outages last seconds, and a caller comes back once or twice only.
-UNREADY_RETRY = 2.0
+# The final answer is sent this long before the caller's own time limit, so
+# that it arrives while the caller still waits.
+ANSWER_MARGIN_SECONDS = 0.02
+# A router without a configuration has just started during an outage of the
+# store; outages last seconds, and callers retry once or twice only.
+NOT_READY_RETRY_SECONDS = 2.0
 SECOND_MS = 1000.0
-GOING_ON = (attempts.NextStep.RETRY, attempts.NextStep.RESUME)
-# Seconds that a stream under way waits for room, and between looks for it.
-RESUME_WAIT = 1.3
-RESUME_TICK = 0.05
+CONTINUING = (attempts.NextStep.RETRY, attempts.NextStep.RESUME)
+# Longest time for which a started stream waits for an endpoint with room, and
+# interval at which the choice is repeated.
+RESUME_WAIT_SECONDS = 1.3
+RESUME_POLL_SECONDS = 0.05
 
 
 class Forwarder:
@@ -39,9 +40,9 @@
     codec : ports.Codec
     connections : upstream.ConnectionPool
     watcher : watching.Watcher
-    window : attempts.RetryBudget
+    retry_budget : attempts.RetryBudget
     count_routers : callable
-        Gives how many routers share the bound on repeats.
+        Returns the number of routers that share the limit on retries.
     metrics : metrics.Metrics
     screen : screening.Screen
     """
@@ -52,7 +53,7 @@
         codec,
         connections,
         watcher,
-        window,
+        retry_budget,
         count_routers,
         metrics,
         screen,
@@ -60,7 +61,7 @@
         self.view = view
         self.codec = codec
         self.watcher = watcher
-        self.window = window
+        self.retry_budget = retry_budget
         self.count_routers = count_routers
         self.metrics = metrics
         self.screen = screen
@@ -75,7 +76,7 @@
         self.active = 0
 
     def serve(self, exchange):
-        """Serve one request; called in a thread of the server."""
+        """Serve one request; called in a worker thread of the server."""
         started = self.clock()
         request_id = ''
         with self.view.lock:
@@ -88,7 +89,7 @@
             request.body = exchange.read_body()
             self._serve(exchange, request, started)
         except exceptions.IbisringError as error:
-            self._refuse(exchange, request_id, error, started)
+            self._send_error(exchange, request_id, error, started)
         except exchange_module.CallerDisconnected as error:
             exchange.abort()
             self._log(request_id, 'caller_gone', started, why=str(error))
@@ -97,19 +98,19 @@
             self.metrics.count('internal_errors')
             LOG.exception('request_failed %s', request_id)
             if not exchange.begun:
-                error = exceptions.IbisringError('an internal error')
-                self._refuse(exchange, request_id, error, started)
+                error = exceptions.IbisringError('internal error')
+                self._send_error(exchange, request_id, error, started)
         finally:
             with self.view.lock:
                 self.active -= 1
             if self.stopping_at is not None:
                 exchange.close_after()
 
-    def _refuse(self, exchange, request_id, error, started):
+    def _send_error(self, exchange, request_id, error, started):
         if exchange.begun:
-            # The caller has a part of an answer.  An error written after it
-            # would end that answer as if it were whole; the caller sees that
-            # it was cut only if nothing more comes.
+            # The caller has received part of an answer.  An error written
+            # after it would terminate that answer as if it were complete; the
+            # caller detects the truncation only if nothing more is written.
             exchange.abort()
             self._log(request_id, 'broken_off', started, why=str(error))
             return
@@ -118,8 +119,10 @@
         status, headers, body = self.codec.encode_error(request_id, error)
         try:
             exchange.answer(status, headers, body)
-        except exchange_module.CallerDisconnected as left:
-            LOG.debug('caller left before a refusal: %s', left)
+        except exchange_module.CallerDisconnected as disconnected:
+            LOG.debug(
+                'caller disconnected before the error answer: %s', disconnected
+            )
         self.metrics.count(f'refused.{error.code}')
         snapshot = self.view.snapshot
         self._log(
@@ -152,22 +155,24 @@
     def _serve(self, exchange, request, started):
         snapshot = self.view.snapshot
         if not self.view.is_ready:
-            raise exceptions.NotReady('no configuration yet', UNREADY_RETRY)
+            raise exceptions.NotReady(
+                'no configuration yet', NOT_READY_RETRY_SECONDS
+            )
         match = snapshot.index.find(request.host, request.path, request.key)
         if self.refuse_after is not None and started > self.refuse_after:
-            raise exceptions.NotReady('this router is ending', 0.0)
+            raise exceptions.NotReady('this router is shutting down', 0.0)
         service = snapshot.index.pick_service(match.route, self.rng.random())
         if service is None:
             raise exceptions.NoEndpoint('the route has no service', 1.0)
         limit = match.route.timeout
         if request.time_limit is not None:
-            limit = min(limit, request.time_limit - ANSWER_MARGIN)
+            limit = min(limit, request.time_limit - ANSWER_MARGIN_SECONDS)
         job = jobs.Job(
             exchange, request, match, service, started, started + limit
         )
         with self.view.lock:
-            self.window.count_request(started)
-        self._run(job)
+            self.retry_budget.count_request(started)
+        self._run_attempts(job)
         self._finish(job)
 
     def _finish(self, job):
@@ -198,67 +203,70 @@
             ),
         )
 
-    def _run(self, job):
-        """Try endpoints until the request has its final answer."""
+    def _run_attempts(self, job):
+        """Send attempts until the request has its final answer."""
         while True:
-            end = self._attempt(job)
-            if end is None:
+            result = self._send_attempt(job)
+            if result is None:
                 return
             now = self.clock()
             progress = job.progress
             progress.time_left = job.deadline - now
             progress.delivering = job.exchange.begun
             progress.has_retry_budget = True
-            step = attempts.decide(end, progress)
-            if step in GOING_ON and progress.sent_to:
+            step = attempts.decide(result, progress)
+            if step in CONTINUING and progress.sent_to:
                 with self.view.lock:
-                    progress.has_retry_budget = self.window.take_retry(
+                    progress.has_retry_budget = self.retry_budget.take_retry(
                         now, self.count_routers()
                     )
-                step = attempts.decide(end, progress)
+                step = attempts.decide(result, progress)
             logs.event(
                 LOG,
                 'attempt_ended',
                 id=job.request.id,
                 digest=job.digest.hex(),
                 chain=job.chain,
-                end=end.value,
+                end=result.value,
                 next=step.value,
                 tries=progress.tries,
                 endpoints=job.sent_to,
                 left_ms=round(progress.time_left * SECOND_MS),
                 after_event=job.splitter.last_position,
             )
-            if step not in GOING_ON:
-                self._give_up(job, end, step)
+            if step not in CONTINUING:
+                self._end_unanswered(job, result, step)
                 return
             if (
                 step is attempts.NextStep.RESUME
-                and end is attempts.Result.REFUSED
+                and result is attempts.Result.REFUSED
             ):
-                self._pause(job)
+                self._wait_before_resume(job)
 
-    def _pause(self, job):
-        """Let a moment pass before a stream under way is tried again."""
+    def _wait_before_resume(self, job):
+        """Wait before a started stream is retried after a refusal."""
         time.sleep(attempts.REFUSAL_PAUSE_SECONDS)
         if serving.is_gone(job.exchange.socket):
-            raise exchange_module.CallerDisconnected('between two tries')
+            raise exchange_module.CallerDisconnected('between two attempts')
 
-    def _give_up(self, job, end, step):
+    def _end_unanswered(self, job, result, step):
+        """End a request whose attempts brought no answer."""
         if step is attempts.NextStep.DROP:
-            raise exchange_module.CallerDisconnected('the caller closed')
+            raise exchange_module.CallerDisconnected(
+                'the caller closed its connection'
+            )
         if step is attempts.NextStep.ABORT:
             job.exchange.abort()
             self.metrics.count('broken_off')
             job.answer = None
             return
-        detail = f'the last attempt ended as {end.value}'
+        detail = f'the last attempt ended as {result.value}'
         if (
             step is attempts.NextStep.REFUSE
-            and end is attempts.Result.SUSPECTED
+            and result is attempts.Result.SUSPECTED
         ):
             raise exceptions.EndsEndpoints(
-                'endpoints have ended under this request',
+                'endpoints crashed while they ran this request',
                 self.screen.retry_after(job),
                 digest=job.digest.hex(),
                 ends=self.screen.verdict(job).crashes,
@@ -268,7 +276,7 @@
             self.screen.retry_after(job),
         )
         if job.limited:
-            limited = self.selector.turns.refuse(job, self.clock())
+            limited = self.selector.throttle.refuse(job, self.clock())
             retry_after = max(retry_after, limited)
         if step is attempts.NextStep.REFUSE:
             raise exceptions.NoEndpoint(detail, retry_after)
@@ -276,13 +284,13 @@
             raise exceptions.Interrupted(detail, retry_after)
         raise exceptions.OutcomeUnknown(detail)
 
-    def _attempt(self, job):
-        """Send the request to one endpoint.
+    def _send_attempt(self, job):
+        """Choose an endpoint and send the request to it.
 
         Returns
         -------
         attempts.Result or None
-            None once the caller has its final answer.
+            None if the caller has its final answer.
         """
         if not self.screen.wait_until_allowed(job):
             return attempts.Result.SUSPECTED
@@ -295,8 +303,8 @@
             return attempts.Result.NOT_SENT
         if choice is None and job.limited:
             raise exceptions.Overloaded(
-                'endpoints take no more requests for now',
-                self.selector.turns.refuse(job, self.clock()),
+                'all endpoints are at their rate limits',
+                self.selector.throttle.refuse(job, self.clock()),
                 limited=sorted(job.limited),
             )
         if choice is None:
@@ -311,7 +319,9 @@
             job.request.id, choice.endpoint, choice.stages, job.deadline
         )
         attempt.tokens = choice.tokens
-        attempt.may_change_endpoint = self._may_leave(job, choice.endpoint)
+        attempt.may_change_endpoint = self._may_change_endpoint(
+            job, choice.endpoint
+        )
         job.chain = _chain_text(choice.stages)
         self.selector.reserve(attempt)
         self.screen.record_start(job, attempt)
@@ -323,24 +333,24 @@
             self.selector.release(attempt)
             self.screen.record_end(job)
 
-    def _may_leave(self, job, endpoint):
-        """Whether another endpoint may get the request after this one."""
+    def _may_change_endpoint(self, job, endpoint):
+        """Return whether the route allows another endpoint after this one."""
         sent_to = {*job.sent_to, endpoint.id}
         return len(sent_to) < job.progress.max_endpoints
 
     def _wait_for_choice(self, job):
-        """Wait for room for a stream that its caller has a part of.
+        """Wait for an endpoint with room for a started stream.
 
-        Breaking it off would lose the whole; its caller waits two seconds
-        for the next event, and room comes within one, as others end or
-        layers are loaded.
+        Breaking the stream off would lose all of it.  Its caller waits two
+        seconds for the next event, and capacity usually becomes free within
+        one, as other streams end or layers are loaded.
         """
-        end = min(job.deadline, self.clock() + RESUME_WAIT)
+        end = min(job.deadline, self.clock() + RESUME_WAIT_SECONDS)
         while self.clock() < end:
-            time.sleep(RESUME_TICK)
+            time.sleep(RESUME_POLL_SECONDS)
             if serving.is_gone(job.exchange.socket):
                 raise exchange_module.CallerDisconnected(
-                    'while waiting for room'
+                    'while its stream waited for room'
                 )
             choice = self.selector.choose(job, self.clock())
             if choice is not None:
--- a/packages/gateway/ibisring_gateway/selecting.py
+++ b/packages/gateway/ibisring_gateway/selecting.py
@@ -1,45 +1,47 @@
-"""Choice of an endpoint or chain for a request, from what is known now."""
+"""Chooses an endpoint, or a chain of engines, for a request."""
 
-__all__ = ['Choice', 'Sending', 'Selector', 'make_selector']
+__all__ = ['Choice', 'AttemptMetadata', 'Selector', 'make_selector']
 
 import math
 import random
 
-from ibisring_gateway import turns
+from ibisring_gateway import throttling
 from ibisring_policy.gateway import chains
 from ibisring_policy.gateway import estimates
 from ibisring_policy.gateway import shortage
 import msgspec
 
-# Routers that know the same choose differently by up to this factor.
-NOISE = 0.25
-# Seconds without a first event after which the stages are looked at: the
-# objective of a stream is half a second.
-FIRST_EVENT = 0.12
+# Range of the random factor on scores that makes routers with the same view
+# choose differently.
+SCORE_NOISE = 0.25
+# Seconds without a first event after which the stages are checked, beside the
+# time to prefill: the objective of a stream is half a second.
+FIRST_EVENT_TIMEOUT = 0.12
 PREFILL_FACTOR = 4.0
-# Between events, a stage is suspected after this many usual gaps, within
-# these bounds in seconds; callers count a stream as late after 0.2.
-GAP_FACTOR = 2.0
+# Between events, a stage is suspected after this many mean gaps, within these
+# bounds in seconds; callers count a stream as late after 0.2.
+EVENT_TIMEOUT_FACTOR = 2.0
 MIN_EVENT_TIMEOUT = 0.06
 MAX_EVENT_TIMEOUT = 0.09
-# Share of the memory reserved for requests that they are taken to use when
-# no chain has room otherwise.
-SQUEEZE = 0.9
-# The same of first engines' slots: a few requests may wait in an engine when
-# none has a slot, which is late but no loss.
-SQUEEZE_HEADS = 0.75
-# A refusal this late, in seconds, ends a stall and is not one of admission.
-STALLED = 1.0
-# Seconds a stream holds its memory, for a refusal's Retry-After.
-MEAN_STREAM = 3.5
-# Seconds after which a plain service is worth another try.
-LEAST_RETRY = 0.1
+# Share of the memory reserved for requests that is counted as used when no
+# chain has room otherwise.
+OVERCOMMIT_MEMORY_SHARE = 0.9
+# The same for the slots of first stages: when none has a free slot, a few
+# requests may queue in an engine, which makes them late but loses none.
+OVERCOMMIT_SLOT_SHARE = 0.75
+# A refusal that arrives this many seconds after the last event is caused by a
+# stalled stage and not by admission control.
+STALL_SECONDS = 1.0
+# Mean seconds for which a stream occupies memory, for Retry-After.
+MEAN_STREAM_SECONDS = 3.5
+# Retry-After of a plain service.
+MIN_RETRY_SECONDS = 0.1
 
 
 class Choice(msgspec.Struct):
-    """Where a request goes; `stages` is empty for a plain service.
+    """Where a request is sent; `stages` is empty for a plain service.
 
-    `wait` is the seconds until its turn under the endpoint's limit.
+    `wait` is the seconds until the endpoint's rate limit allows it.
     """
 
     endpoint: object
@@ -48,8 +50,8 @@
     wait: float = 0.0
 
 
-class Sending(msgspec.Struct, kw_only=True):
-    """What an endpoint is told beside the caller's own request."""
+class AttemptMetadata(msgspec.Struct, kw_only=True):
+    """Data that a router adds to the caller's request to an endpoint."""
 
     stages: tuple
     time_left: float
@@ -59,7 +61,7 @@
 
 
 class Selector:
-    """Chooses from the view's snapshot and book.
+    """Chooses endpoints by the view's snapshot and endpoint estimates.
 
     Parameters
     ----------
@@ -69,69 +71,83 @@
     def __init__(self, view):
         self.view = view
         self.rng = random.Random()
-        self.turns = turns.make_turns(view, self.rng)
+        self.throttle = throttling.make_throttle(view, self.rng)
 
     def choose(self, job, now):
-        """Give a `Choice`, or None if nothing can take the request.
+        """Return a `Choice`, or None if no endpoint can take the request.
 
-        Its turn under the endpoint's limit is taken with it.  An endpoint
-        that takes it later is chosen only where no other takes it now.
+        The request is counted against the endpoint's rate limit.  An endpoint
+        whose limit makes the request wait is chosen only if no other takes it
+        at once.
         """
-        patience = turns.MOST_WAIT * job.route.objective
-        for allowed in (0.0, patience):
+        max_wait = throttling.MAX_WAIT_SHARE * job.route.objective
+        for wait_bound in (0.0, max_wait):
             job.limited = set()
-            choice = self._choose_within(job, now, allowed)
+            choice = self._choose_within(job, now, wait_bound)
             if choice is not None or not job.limited:
                 return choice
         return None
 
-    def _choose_within(self, job, now, patience):
+    def _choose_within(self, job, now, max_wait):
         endpoints = self.view.snapshot.by_service.get(job.service.name, ())
-        pick = self._plain if job.service.model is None else self._chain
+        choose = (
+            self._choose_plain
+            if job.service.model is None
+            else self._choose_chain
+        )
         while True:
-            choice = pick(job, endpoints, now)
+            choice = choose(job, endpoints, now)
             if choice is None:
                 return None
-            wait = self.turns.take(job, choice.endpoint.id, now, patience)
+            wait = self.throttle.admit(job, choice.endpoint.id, now, max_wait)
             if wait is not None:
                 choice.wait = wait
                 return choice
             job.limited.add(choice.endpoint.id)
 
-    def _plain(self, job, endpoints, now):
+    def _choose_plain(self, job, endpoints, now):
         endpoints = [e for e in endpoints if e.id not in job.limited]
-        left = [e for e in endpoints if e.id not in job.avoid]
-        if not left:
-            left = [e for e in endpoints if e.id not in job.sent_to]
-        if not left:
+        candidates = [e for e in endpoints if e.id not in job.avoid]
+        if not candidates:
+            candidates = [e for e in endpoints if e.id not in job.sent_to]
+        if not candidates:
             return None
         at_risk = self._at_risk(job)
-        left = [e for e in left if e.id not in at_risk] or left
+        candidates = [
+            e for e in candidates if e.id not in at_risk
+        ] or candidates
         with self.view.lock:
-            ranked = self.view.estimates.rank(left, now, self.rng.random)
+            ranked = self.view.estimates.rank(candidates, now, self.rng.random)
         return Choice(ranked[0])
 
-    def _noise(self):
-        return 1.0 + NOISE * (self.rng.random() - 0.5)
+    def _random_factor(self):
+        return 1.0 + SCORE_NOISE * (self.rng.random() - 0.5)
 
-    def _chain(self, job, endpoints, now):
+    def _choose_chain(self, job, endpoints, now):
         model = job.service.model
         demand = self._demand(job)
-        heads = None
+        first_stages = None
         if job.progress.sent_to >= job.progress.max_endpoints:
-            # No further endpoint may get the request, but these may again.
-            heads = job.sent_to
+            # The route allows no further endpoint; only those that had the
+            # request may get it again.
+            first_stages = job.sent_to
         if job.limited:
-            heads = self._unlimited_heads(job, endpoints, heads)
-        stages = self._apart(job, endpoints, now, demand, heads)
+            first_stages = self._first_stages_within_limits(
+                job, endpoints, first_stages
+            )
+        stages = self._choose_away_from_suspects(
+            job, endpoints, now, demand, first_stages
+        )
         if stages is None:
-            stages = self._find(
-                endpoints, model, now, demand, heads, job.avoid
+            stages = self._find_chain(
+                endpoints, model, now, demand, first_stages, job.avoid
             )
         if stages is None and job.avoid:
-            # One that only lost an answer is better than none; those that
-            # are believed lost or full are left out all the same.
-            stages = self._find(endpoints, model, now, demand, heads, ())
+            # An endpoint that only lost an answer is better than none; those
+            # estimated to be dead or full stay excluded.
+            stages = self._find_chain(
+                endpoints, model, now, demand, first_stages, ()
+            )
         if stages is None:
             return None
         by_id = self.view.snapshot.endpoints
@@ -141,52 +157,60 @@
         return Choice(endpoint, tuple(stages), demand.tokens)
 
     def _at_risk(self, job):
-        """Give the endpoints that a suspect may be about to end."""
+        """Return the endpoints that another suspect may be about to crash."""
         with self.view.lock:
             return self.view.suspects.endpoints_at_risk(job.digest)
 
-    def _apart(self, job, endpoints, now, demand, heads):
-        """Choose a chain away from suspects, and for one where few run.
+    def _choose_away_from_suspects(
+        self, job, endpoints, now, demand, first_stages
+    ):
+        """Choose a chain that keeps suspects and other requests apart.
+
+        A suspect gets a first stage that runs few streams.
 
         Returns
         -------
         list of chains.Stage or None
-            None if there is none, or no need for one.
+            None if there is no such chain, or no suspect is involved.
         """
         at_risk = self._at_risk(job)
         if not at_risk and not job.is_suspect:
             return None
-        if job.is_suspect and heads is None:
-            heads = self._quiet_heads(endpoints, at_risk | job.avoid, now)
+        if job.is_suspect and first_stages is None:
+            first_stages = self._least_loaded_first_stages(
+                endpoints, at_risk | job.avoid, now
+            )
         model = job.service.model
         avoid = at_risk | job.avoid
-        return self._find(endpoints, model, now, demand, heads, avoid)
+        return self._find_chain(
+            endpoints, model, now, demand, first_stages, avoid
+        )
 
-    def _unlimited_heads(self, job, endpoints, heads):
-        """Give the first engines whose limits leave room for a request."""
-        if heads is None:
-            heads = [
+    def _first_stages_within_limits(self, job, endpoints, first_stages):
+        """Return the first stages whose rate limits allow the request."""
+        if first_stages is None:
+            first_stages = [
                 each.id
                 for each in endpoints
                 if each.holding and each.holding.first == 0
             ]
-        return [name for name in heads if name not in job.limited]
+        return [name for name in first_stages if name not in job.limited]
 
-    def _quiet_heads(self, endpoints, avoid, now):
-        """Give the half of the first engines that run the fewest streams."""
-        firsts = [
+    def _least_loaded_first_stages(self, endpoints, avoid, now):
+        """Return the half of the first stages that run the fewest streams."""
+        found = [
             each.id
             for each in endpoints
             if each.holding and each.holding.first == 0
             if each.id not in avoid
         ]
         with self.view.lock:
-            firsts.sort(
+            found.sort(
                 key=lambda name: self.view.estimates.first_stage_load(
                     name, now
                 )
             )
-        return firsts[: math.ceil(len(firsts) / 2)]
+        return found[: math.ceil(len(found) / 2)]
 
     def _demand(self, job):
         request = job.request
@@ -194,50 +218,57 @@
             request.prompt_tokens, request.answer_tokens, request.answer_hint
         )
         layers = job.service.model.layers
-        return chains.Demand(tokens, self.view_domain, 0, layers)
+        return chains.Demand(tokens, self.domain, 0, layers)
 
     def shortages(self, job, now):
-        """Say, for a log line, which layers have no engine with room."""
+        """Describe, for a log line, the layers without an engine with room."""
         service = job.service
         if service.model is None:
             return []
         endpoints = self.view.snapshot.by_service.get(service.name, ())
         with self.view.lock:
-            book = self.view.estimates
-            holders = book.holders(endpoints, service.model, now, job.avoid)
-            left_out = book.excluded_ranges(endpoints, now, job.avoid)
+            table = self.view.estimates
+            holders = table.holders(endpoints, service.model, now, job.avoid)
+            excluded = table.excluded_ranges(endpoints, now, job.avoid)
         found = shortage.find(
-            holders, left_out, self._demand(job), chains.FULL_SHARE / SQUEEZE
+            holders,
+            excluded,
+            self._demand(job),
+            chains.FULL_SHARE / OVERCOMMIT_MEMORY_SHARE,
         )
         return shortage.describe(found)
 
-    def _find(self, endpoints, model, now, demand, heads, avoid):
+    def _find_chain(self, endpoints, model, now, demand, first_stages, avoid):
         with self.view.lock:
             holders = self.view.estimates.holders(endpoints, model, now, avoid)
             self.view.estimates.note_memory_use(holders)
         chains.jitter_slot_use(holders, self.rng.random)
         found = chains.choose(
-            holders, demand, model.layers, self._noise, heads
+            holders, demand, model.layers, self._random_factor, first_stages
         )
         if found is None:
-            found = self._squeeze(holders, demand, model, heads)
+            found = self._find_chain_overcommitted(
+                holders, demand, model, first_stages
+            )
         return found
 
-    def _squeeze(self, holders, demand, model, heads):
-        """Choose although engines seem full.
+    def _find_chain_overcommitted(self, holders, demand, model, first_stages):
+        """Choose engines that are estimated to be full.
 
-        Requests rarely grow to the size that is reserved for them; an
-        engine that is full after all says so at once.
+        Requests rarely grow to the size that is reserved for them; an engine
+        that is in fact full refuses at once.
         """
         for holder in holders:
-            holder.used *= SQUEEZE
-            holder.slot_use *= SQUEEZE_HEADS
-        return chains.choose(holders, demand, model.layers, self._noise, heads)
+            holder.used *= OVERCOMMIT_MEMORY_SHARE
+            holder.slot_use *= OVERCOMMIT_SLOT_SHARE
+        return chains.choose(
+            holders, demand, model.layers, self._random_factor, first_stages
+        )
 
     def replace_stages(self, attempt, lost, now):
-        """Give stages for an attempt without those that are lost.
+        """Return stages for an attempt that replace those that are lost.
 
-        The first stage stays; the others keep what they run.
+        The first stage stays, and the other stages keep their layers.
 
         Parameters
         ----------
@@ -248,21 +279,21 @@
         Returns
         -------
         tuple of chains.Stage or None
-            None if some lost stage has no other engine: a path with a stage
-            that is not there is refused.
+            None if a lost stage has no replacement: a chain that contains a
+            missing stage is refused.
         """
         service = attempt.endpoint.service
         snapshot = self.view.snapshot
         model = snapshot.index.services[service].model
         endpoints = snapshot.by_service.get(service, ())
         kept = {s.endpoint for s in attempt.stages if s.endpoint not in lost}
-        domains = self._domains(attempt)
+        domains = self._chain_domains(attempt)
         with self.view.lock:
             holders = self.view.estimates.holders(
                 endpoints, model, now, avoid=kept | set(lost)
             )
-        # Reading a prompt through a stage in another domain would cross the
-        # pipe twice; starting over in that domain costs less.
+        # Prefilling through a stage in another domain would cross the link
+        # between domains twice; starting over in that domain costs less.
         holders = [h for h in holders if h.domain in domains]
         stages = []
         for stage in attempt.stages:
@@ -275,7 +306,9 @@
                 stage.first,
                 stage.end,
             )
-            found = chains.choose(holders, demand, model.layers, self._noise)
+            found = chains.choose(
+                holders, demand, model.layers, self._random_factor
+            )
             if found is None:
                 return None
             stages.extend(found)
@@ -283,8 +316,8 @@
             holders = [h for h in holders if h.id not in used]
         return tuple(stages)
 
-    def _domains(self, attempt):
-        """Give the failure domains that a chain passes through."""
+    def _chain_domains(self, attempt):
+        """Return the failure domains of an attempt's chain."""
         by_id = self.view.snapshot.endpoints
         found = {attempt.endpoint.failure_domain}
         for stage in attempt.stages:
@@ -293,12 +326,12 @@
         return found
 
     @property
-    def view_domain(self):
-        """Failure domain of this router."""
+    def domain(self):
+        """This router's failure domain."""
         return self.view.domain
 
     def reserve(self, attempt):
-        """Count an attempt at its endpoints."""
+        """Count an attempt in the load of its endpoints."""
         with self.view.lock:
             if attempt.stages:
                 self.view.estimates.reserve(attempt.stages, attempt.tokens)
@@ -306,7 +339,7 @@
                 self.view.estimates.get(attempt.endpoint.id).active += 1
 
     def release(self, attempt):
-        """Take back what `reserve` counted."""
+        """Remove what `reserve` counted."""
         with self.view.lock:
             if attempt.stages:
                 self.view.estimates.release(attempt.stages, attempt.tokens)
@@ -320,16 +353,16 @@
             attempt.stages = stages
             self.view.estimates.reserve(attempt.stages, attempt.tokens)
 
-    def first_event(self, job, attempt):
-        """Give the seconds after which a first event is overdue."""
+    def first_event_timeout(self, job, attempt):
+        """Return the seconds after which a first event is overdue."""
         model = job.service.model
         if model is None:
             return job.route.objective
         prefill = job.request.prompt_tokens / max(1.0, model.prefill_rate)
-        return FIRST_EVENT + PREFILL_FACTOR * prefill * 8.0
+        return FIRST_EVENT_TIMEOUT + PREFILL_FACTOR * prefill * 8.0
 
-    def event_came(self, attempt, now):
-        """Note an event, and when the next is overdue."""
+    def record_event(self, attempt, now):
+        """Record an event, and when the next one is overdue."""
         gap = now - attempt.last_event_at
         attempt.last_event_at = now
         attempt.checks = 0
@@ -342,13 +375,13 @@
         if attempt.events > 1:
             weight = 0.3 if attempt.events > 2 else 1.0
             attempt.mean_gap += weight * (gap - attempt.mean_gap)
-        wait = max(MIN_EVENT_TIMEOUT, attempt.mean_gap * GAP_FACTOR)
+        wait = max(MIN_EVENT_TIMEOUT, attempt.mean_gap * EVENT_TIMEOUT_FACTOR)
         attempt.check_at = now + min(
             wait, max(MAX_EVENT_TIMEOUT, 1.5 * attempt.mean_gap)
         )
 
-    def culprit(self, attempt, answer):
-        """Give the id of the endpoint that a refusal is about."""
+    def refusing_endpoint(self, attempt, answer):
+        """Return the id of the endpoint that caused a refusal."""
         for stage in attempt.stages:
             if (
                 answer.refusing_address
@@ -357,52 +390,53 @@
                 return stage.endpoint
         return attempt.endpoint.id
 
-    def blame(self, attempt, culprit, answer, now):
-        """Note a refusal; the caller holds the view's lock.
+    def record_refusal(self, attempt, refusing_endpoint, answer, now):
+        """Update the estimates for a refusal; the view's lock must be held.
 
-        A refusal that comes after the stall of a lost stage is about that
-        stage; one that comes at once is about memory, slots, or layers that
-        are being given up.
+        A refusal that follows a stall is caused by a lost stage; one that
+        comes at once by a lack of memory or slots, or by layers that are
+        being unloaded.
         """
         if answer.wrong_endpoint and not attempt.stages:
-            self.view.estimates.note_unreachable(culprit, now)
-        elif attempt.stages and now - attempt.last_event_at > STALLED:
-            self.view.estimates.note_unreachable(culprit, now)
+            self.view.estimates.note_unreachable(refusing_endpoint, now)
+        elif attempt.stages and now - attempt.last_event_at > STALL_SECONDS:
+            self.view.estimates.note_unreachable(refusing_endpoint, now)
         else:
             has_memory = (
-                self._used(attempt, culprit) < estimates.MEMORY_AVAILABLE_SHARE
+                self._memory_share(attempt, refusing_endpoint)
+                < estimates.MEMORY_AVAILABLE_SHARE
             )
             self.view.estimates.note_refusal(
-                culprit, now, has_memory=has_memory
+                refusing_endpoint, now, has_memory=has_memory
             )
 
-    def _used(self, attempt, name):
-        """Give the share of an engine's memory that is believed taken."""
+    def _memory_share(self, attempt, name):
+        """Return the estimated share of an engine's memory in use."""
         snapshot = self.view.snapshot
         service = snapshot.index.services[attempt.endpoint.service]
         endpoint = snapshot.endpoints.get(name)
         if service.model is None or endpoint is None:
             return 1.0
         now = self.view.clock()
-        book = self.view.estimates
-        for holder in book.holders([endpoint], service.model, now):
+        table = self.view.estimates
+        for holder in table.holders([endpoint], service.model, now):
             return holder.used / holder.capacity if holder.capacity else 1.0
         return 1.0
 
     def retry_after(self, service):
-        """Give the seconds after which some request will have ended.
+        """Return the seconds after which capacity is likely to be free.
 
-        Streams end evenly over their mean time, and layers that are missing
-        are loaded within about as long.  Callers come back once or twice
-        only, so a time that is too short loses the request; they are spread,
-        since those refused together would return together.
+        Streams end evenly over their mean time, and missing layers are loaded
+        within about as long.  Callers retry once or twice only, so a time
+        that is too short loses the request.  The times are randomised, since
+        callers refused together would otherwise retry together.
         """
         if service.model is None:
-            return LEAST_RETRY
-        return MEAN_STREAM * (0.4 + 0.4 * self.rng.random())
+            return MIN_RETRY_SECONDS
+        return MEAN_STREAM_SECONDS * (0.4 + 0.4 * self.rng.random())
 
     def has_alternative(self, attempt, now):
-        """Say whether another first engine has room for an attempt."""
+        """Return whether another first stage has room for an attempt."""
         snapshot = self.view.snapshot
         service = attempt.endpoint.service
         model = snapshot.index.services[service].model
@@ -414,9 +448,11 @@
         demand = chains.Demand(
             attempt.tokens, self.view.domain, 0, model.layers, False
         )
-        heads = self.turns.soon([h.id for h in holders], now)
+        first_stages = self.throttle.with_capacity_soon(
+            [h.id for h in holders], now
+        )
         found = chains.choose(
-            holders, demand, model.layers, self._noise, heads
+            holders, demand, model.layers, self._random_factor, first_stages
         )
         return found is not None
 
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -1,4 +1,4 @@
-"""One sending of a request to an endpoint, and what comes back of it."""
+"""Sends one attempt of a request to an endpoint and relays the answer."""
 
 __all__ = ['Sender', 'make_sender']
 
@@ -12,10 +12,11 @@
 from ibisring_router import logs
 
 LOG = logging.getLogger(__name__)
-# Objectives that a repeatable plain request may wait for one endpoint.
-PATIENCE = 2.0
-# Bytes of a plain answer that are held until it is whole.
-HELD_WHOLE = 1 << 20
+# Multiple of the objective for which a repeatable plain request waits for one
+# endpoint.
+TIMEOUT_OBJECTIVES = 2.0
+# Plain answers up to this size in bytes are buffered until complete.
+MAX_BUFFERED_BYTES = 1 << 20
 SECOND_MS = 1000.0
 
 
@@ -33,7 +34,7 @@
     Attributes
     ----------
     on_limit : callable
-        Called when an endpoint names another limit than before.
+        Called when the rate limit that an endpoint states changes.
     """
 
     def __init__(self, view, codec, connections, selector, screen):
@@ -56,25 +57,25 @@
         Returns
         -------
         attempts.Result or None
-            None once the caller has its final answer.
+            None if the caller has its final answer.
         """
         endpoint = attempt.endpoint
         job.progress.tries += 1
-        once = job.route.kind is routing.Kind.ONCE
+        is_once = job.route.kind is routing.Kind.ONCE
         try:
-            conn = self.connections.acquire(endpoint, fresh=once)
+            conn = self.connections.acquire(endpoint, fresh=is_once)
         except upstream.ConnectionFailed as error:
-            return self._not_reached(job, attempt, error)
+            return self._handle_unreachable(job, attempt, error)
         attempt.socket = conn.sock
         if attempt.result is not None:
             conn.close()
             return attempt.result
-        self._set_patience(job, attempt)
+        self._set_timeouts(job, attempt)
         if endpoint.id not in job.sent_to:
             job.sent_to.append(endpoint.id)
         job.progress.sent_to = len(job.sent_to)
         headers = self.codec.encode_request(
-            job.request, endpoint, self._sending(job, attempt)
+            job.request, endpoint, self._metadata(job, attempt)
         )
         try:
             time_left = max(0.01, job.deadline - self.clock()) + 1.0
@@ -83,11 +84,11 @@
             )
         except upstream.ConnectionFailed as error:
             conn.close()
-            return self._lost(job, attempt, error)
+            return self._handle_lost_answer(job, attempt, error)
         return self._receive(job, attempt, conn, response)
 
-    def _sending(self, job, attempt):
-        return selecting.Sending(
+    def _metadata(self, job, attempt):
+        return selecting.AttemptMetadata(
             stages=attempt.stages,
             time_left=max(0.0, job.deadline - self.clock()),
             account=job.match.account,
@@ -95,19 +96,21 @@
             after_event=job.splitter.last_position,
         )
 
-    def _set_patience(self, job, attempt):
+    def _set_timeouts(self, job, attempt):
         now = self.clock()
         attempt.sent_at = now
         attempt.last_event_at = now
         if job.progress.stream:
-            attempt.check_at = now + self.selector.first_event(job, attempt)
+            attempt.check_at = now + self.selector.first_event_timeout(
+                job, attempt
+            )
         elif job.route.repeatable and attempt.may_change_endpoint:
-            # A slow answer is worth little by then, and another endpoint
-            # may still give one in time.  The last one that the route allows
-            # is waited for: ending it would leave the caller with nothing.
-            attempt.check_at = now + PATIENCE * job.route.objective
+            # A slower answer is of little use, and another endpoint may still
+            # answer in time.  The last endpoint that the route allows gets no
+            # timeout: without it the caller would get no answer at all.
+            attempt.check_at = now + TIMEOUT_OBJECTIVES * job.route.objective
 
-    def _not_reached(self, job, attempt, error):
+    def _handle_unreachable(self, job, attempt, error):
         name = attempt.endpoint.id
         job.avoid.add(name)
         with self.view.lock:
@@ -122,8 +125,8 @@
         )
         return attempt.result or attempts.Result.NOT_SENT
 
-    def _lost(self, job, attempt, error):
-        """Sort a failure after the request was written."""
+    def _handle_lost_answer(self, job, attempt, error):
+        """Handle a failure after the request was written."""
         job.progress.may_have_run = True
         has_crashed = self.screen.check_lost_answer(job, attempt)
         if attempt.result is None or attempt.result is attempts.Result.SILENT:
@@ -151,44 +154,46 @@
         name = attempt.endpoint.id
         now = self.clock()
         if answer.request_id not in (None, job.request.id):
-            # An answer to some earlier request came late on this connection.
+            # A late answer to an earlier request on this connection.
             conn.close()
-            return self._lost(job, attempt, 'answer to another request')
+            return self._handle_lost_answer(
+                job, attempt, 'answer to another request'
+            )
         with self.view.lock:
             self.view.estimates.note_reachable(name, now)
             if answer.load is not None:
                 self.view.estimates.note_load(name, answer.load, now)
-        self._note_limit(attempt, answer, now)
+        self._record_limit(attempt, answer, now)
         if answer.refused:
             response.drain_conn()
             conn.close()
-            return self._refused(job, attempt, answer)
+            return self._handle_refusal(job, attempt, answer)
         job.progress.may_have_run = True
-        damage = _damage(answer)
+        fault = _answer_fault(answer)
         if job.exchange.begun and answer.status != 200:
-            # The caller has a part of a stream.  Another status can't go on
-            # with it, and written after it its end would close the stream
-            # as if it were whole.
-            damage = f'status {answer.status} in place of a stream\'s rest'
-        if damage:
+            # The caller has received part of a stream.  An answer with another
+            # status doesn't continue it, and relaying it would terminate the
+            # stream as if it were complete.
+            fault = f'status {answer.status} instead of the rest of a stream'
+        if fault:
             conn.close()
-            return self._lost(job, attempt, damage)
+            return self._handle_lost_answer(job, attempt, fault)
         attempt.last_event_at = now
         if job.progress.stream and answer.status == 200:
-            end = self._relay_stream(job, attempt, response, answer)
+            result = self._relay_stream(job, attempt, response, answer)
         else:
-            end = self._relay_whole(job, attempt, response, answer)
-        if end is None and answer.delimited and attempt.result is None:
+            result = self._relay_plain(job, attempt, response, answer)
+        if result is None and answer.delimited and attempt.result is None:
             self.connections.release(attempt.endpoint, conn)
         else:
             conn.close()
-        return end
+        return result
 
-    def _note_limit(self, attempt, answer, now):
-        """Note the limit that an endpoint names.
+    def _record_limit(self, attempt, answer, now):
+        """Record the rate limit that an endpoint states.
 
-        A refusal without one says nothing: what writes it may not be what
-        names limits.
+        A refusal that states no limit doesn't mean that there is none: it may
+        be written by another component than the one that states limits.
         """
         endpoint = attempt.endpoint
         if answer.limit_invalid:
@@ -199,14 +204,14 @@
         with self.view.lock:
             limits = self.view.limits
             before = limits.rate(endpoint.id)
-            is_news = limits.record_rate(
+            is_changed = limits.record_rate(
                 endpoint.id,
                 endpoint.started,
                 answer.limit,
                 attempt.sent_at,
                 now,
             )
-        if is_news:
+        if is_changed:
             logs.event(
                 LOG,
                 'endpoint_limit',
@@ -216,61 +221,67 @@
             )
             self.on_limit()
 
-    def _refused(self, job, attempt, answer):
-        """The endpoint, or a stage behind it, did not run the request."""
-        culprit = self.selector.culprit(attempt, answer)
+    def _handle_refusal(self, job, attempt, answer):
+        """Handle a refusal by the endpoint or a later stage of its chain."""
+        refusing = self.selector.refusing_endpoint(attempt, answer)
         job.progress.refusals += 1
-        job.avoid.add(culprit)
+        job.avoid.add(refusing)
         with self.view.lock:
-            self.selector.blame(attempt, culprit, answer, self.clock())
+            self.selector.record_refusal(
+                attempt, refusing, answer, self.clock()
+            )
         logs.event(
             LOG,
             'endpoint_refused',
             id=job.request.id,
             endpoint=attempt.endpoint.id,
-            culprit=culprit,
+            culprit=refusing,
             status=answer.status,
             load=answer.load,
         )
         return attempts.Result.REFUSED
 
-    def _relay_whole(self, job, attempt, response, answer):
-        """Pass a plain answer on once it is whole."""
-        pieces = []
+    def _relay_plain(self, job, attempt, response, answer):
+        """Relay a plain answer once it is complete."""
+        chunks = []
         size = 0
         try:
             while True:
-                piece = upstream.read_chunk(response)
-                if not piece:
+                chunk = upstream.read_chunk(response)
+                if not chunk:
                     break
-                pieces.append(piece)
-                size += len(piece)
-                if size > HELD_WHOLE:
+                chunks.append(chunk)
+                size += len(chunk)
+                if size > MAX_BUFFERED_BYTES:
                     raise upstream.ConnectionFailed(
-                        'the answer is too large', True
+                        'the answer exceeds the buffer limit', True
                     )
         except upstream.ConnectionFailed as error:
-            return self._lost(job, attempt, error)
+            return self._handle_lost_answer(job, attempt, error)
         if attempt.result is not None:
-            return self._lost(job, attempt, 'broken off')
+            return self._handle_lost_answer(
+                job, attempt, 'the attempt was aborted'
+            )
         if answer.length is not None and answer.length != size:
-            return self._lost(job, attempt, 'short answer')
+            return self._handle_lost_answer(
+                job, attempt, 'the body does not match its Content-Length'
+            )
         self.screen.record_answer(job)
         failed = answer.status >= 500
         with self.view.lock:
             self.view.estimates.note_response(
                 attempt.endpoint.id, failed, self.clock()
             )
-        if failed and self._may_try_again(job):
+        if failed and self._may_retry(job):
             job.avoid.add(attempt.endpoint.id)
             return attempts.Result.LOST
         job.answer = answer
         job.record_chunk(self.clock())
-        job.exchange.answer(answer.status, answer.headers, b''.join(pieces))
+        job.exchange.answer(answer.status, answer.headers, b''.join(chunks))
         return None
 
-    def _may_try_again(self, job):
-        """Whether an endpoint's own failure is worth another one's answer."""
+    def _may_retry(self, job):
+        """Return whether another endpoint may replace an error answer."""
         progress = job.progress
         return (
             progress.repeatable
@@ -281,54 +292,58 @@
         )
 
     def _relay_stream(self, job, attempt, response, answer):
-        """Pass events on as they come."""
+        """Relay events as they arrive."""
         exchange = job.exchange
         job.splitter.restart()
         try:
             while True:
-                piece = upstream.read_chunk(response)
-                if not piece:
+                chunk = upstream.read_chunk(response)
+                if not chunk:
                     break
-                whole = job.splitter.feed(piece)
-                if not whole:
+                complete = job.splitter.feed(chunk)
+                if not complete:
                     continue
                 now = self.clock()
-                self.selector.event_came(attempt, now)
+                self.selector.record_event(attempt, now)
                 job.record_chunk(now)
                 if attempt.events == 1:
                     self.screen.record_answer(job)
                 if not exchange.begun:
-                    exchange.begin(answer.status, _streamed(answer.headers))
-                exchange.write(whole)
+                    exchange.begin(
+                        answer.status, _stream_headers(answer.headers)
+                    )
+                exchange.write(complete)
         except (upstream.ConnectionFailed, events.StreamGap) as error:
-            return self._lost(job, attempt, error)
+            return self._handle_lost_answer(job, attempt, error)
         if attempt.result is not None:
-            return self._lost(job, attempt, 'broken off')
+            return self._handle_lost_answer(
+                job, attempt, 'the attempt was aborted'
+            )
         with self.view.lock:
             self.view.estimates.note_response(
                 attempt.endpoint.id, False, self.clock()
             )
         if not exchange.begun:
-            exchange.begin(answer.status, _streamed(answer.headers))
+            exchange.begin(answer.status, _stream_headers(answer.headers))
         exchange.write(job.splitter.partial)
         job.answer = answer
         return None
 
 
-def _damage(answer):
-    """Say what shows that an answer is not the endpoint's whole word.
+def _answer_fault(answer):
+    """Return why an answer is not valid, None if it is.
 
-    An endpoint that crashes may have written the head of a success, which
-    its callers would take for an empty but complete answer.
+    An endpoint that crashes may have written the headers of a success, which
+    the caller would take for an empty but complete answer.
     """
     if answer.encoded:
-        return 'encoded answer'
+        return 'answer with a content encoding'
     if answer.status < 300 and not answer.signed:
-        return 'success without a signature'
+        return 'success answer without a signature'
     return None
 
 
-def _streamed(headers):
+def _stream_headers(headers):
     return [h for h in headers if h[0].lower() != 'content-length']
 
 
--- a/packages/gateway/ibisring_gateway/tests/test_forwarding.py
+++ b/packages/gateway/ibisring_gateway/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of a request's one final answer."""
+"""Tests of the final answer of a request."""
 
 import types
 
@@ -11,7 +11,7 @@
 
 
 class _Exchange:
-    """Notes what is written to the caller."""
+    """Records what is written to the caller."""
 
     def __init__(self, begun):
         self.begun = begun
@@ -30,40 +30,38 @@
         return error.status, [], b'error'
 
 
-def _refuse(begun):
+def _send_error(begun):
     view = builders.make_view([])
     forwarder = forwarding.make_forwarder(
         view, _Codec(), None, None, None, lambda: 1, builders.Metrics(), None
     )
     exchange = _Exchange(begun)
     error = exceptions.Interrupted('the last attempt ended', 1.0)
-    forwarder._refuse(exchange, 'a1', error, view.clock())
+    forwarder._send_error(exchange, 'a1', error, view.clock())
     return exchange
 
 
-def test_an_error_is_not_written_after_a_part_of_an_answer():
-    """Symptom: a caller takes half a recipe for a whole one.
+def test_error_is_not_written_after_part_of_an_answer():
+    """Guards against a caller taking a truncated stream for a complete one.
 
-    Sequence: a stream is under way; it ends with an error.
-    Cause: the error was written as an answer, whose end closed the stream.
+    An error answer written after part of a stream would terminate the stream
+    as if it were complete.
     """
-    exchange = _refuse(begun=True)
+    exchange = _send_error(begun=True)
     assert exchange.aborted and not exchange.written
 
 
-def test_an_error_is_the_answer_before_any_part():
-    exchange = _refuse(begun=False)
+def test_error_is_the_answer_if_nothing_was_written():
+    exchange = _send_error(begun=False)
     assert exchange.written == [exceptions.Interrupted.status]
     assert not exchange.aborted
 
 
-def test_a_router_without_the_store_says_what_another_told_it():
-    """Symptom: a revoked key gets 503 for as long as an outage lasts.
+def test_gossiped_revocation_applies_without_the_store():
+    """Guards against 503 for a revoked key throughout a store outage.
 
-    Sequence: the store turns one router away; another that is served tells
-    it that a key is gone; the key is used.
-    Cause: whatever a router knew counted as out of date once it had lost
-    the store.
+    A router that has lost the store gets the revocation by gossip from one
+    that hasn't; it must apply that state although its own reads are stale.
     """
     table = build.table(accounts=(routing.Account('acme', ('k1',)),))
     view = builders.make_view([], table, store_lost_at=10.0)
--- a/packages/gateway/ibisring_gateway/tests/test_selecting.py
+++ b/packages/gateway/ibisring_gateway/tests/test_selecting.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of endpoints beside suspects and under limits."""
+"""Tests of choosing endpoints near suspects and under rate limits."""
 
 import types
 
@@ -49,7 +49,7 @@
 
 
 def _chosen(view, job, tries=20):
-    """Give the names of the endpoints that are chosen, some not at all."""
+    """Return the ids of the endpoints chosen, None for no choice."""
     selector = selecting.make_selector(view)
     found = set()
     for _ in range(tries):
@@ -61,8 +61,8 @@
 @pytest.mark.parametrize(
     ('service', 'make'), [('lookup', _plain_view), ('model', _chain_view)]
 )
-def test_nobody_is_sent_to_where_a_suspect_runs(service, make):
-    """Failure: others end with the endpoint that a bad request has begun."""
+def test_endpoint_with_a_suspect_is_avoided(service, make):
+    """Guards against losing requests beside one that crashes an endpoint."""
     view = make('h1', 'h2')
     view.suspects.mark_running(SUSPECT, 'h1')
     assert _chosen(view, _job(view, service)) == {'h2'}
@@ -71,14 +71,14 @@
 @pytest.mark.parametrize(
     ('service', 'make'), [('lookup', _plain_view), ('model', _chain_view)]
 )
-def test_an_endpoint_with_a_suspect_is_better_than_none(service, make):
+def test_endpoint_with_a_suspect_is_better_than_none(service, make):
     view = make('h1')
     view.suspects.mark_running(SUSPECT, 'h1')
     assert _chosen(view, _job(view, service)) == {'h1'}
 
 
-def test_a_suspect_begins_where_few_streams_run():
-    """Failure: a bad request ends the engine that has the most streams."""
+def test_suspect_is_sent_where_few_streams_run():
+    """Guards against a suspect crashing the engine with the most streams."""
     view = _chain_view('h1', 'h2', 'h3')
     view.estimates.get('h1').first_stage_requests = 60
     job = _job(view, 'model', SUSPECT, is_suspect=True)
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize(
     ('service', 'make'), [('lookup', _plain_view), ('model', _chain_view)]
 )
-def test_others_take_what_a_limit_leaves_over(service, make):
+def test_requests_beyond_a_limit_go_to_other_endpoints(service, make):
     view = make('h1', 'h2')
     now = view.clock()
     view.limits.record_rate('h1', 0, 0.5, now, now)
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize(
     ('service', 'make'), [('lookup', _plain_view), ('model', _chain_view)]
 )
-def test_a_limit_that_is_used_up_leaves_no_choice(service, make):
+def test_exhausted_limit_leaves_no_choice(service, make):
     view = make('h1')
     now = view.clock()
     view.limits.record_rate('h1', 0, 0.5, now, now)
@@ -110,10 +110,10 @@
     selector = selecting.make_selector(view)
     assert selector.choose(job, now + 10.0) is None
     assert job.limited == {'h1'}
-    assert selector.turns.refuse(job, now + 10.0) > 0.0
+    assert selector.throttle.refuse(job, now + 10.0) > 0.0
 
 
-def test_a_request_that_is_outranked_leaves_the_turn_to_others():
+def test_outranked_request_is_not_admitted():
     view = _plain_view('h1')
     now = view.clock()
     view.limits.record_rate('h1', 0, 0.5, now, now)
--- /dev/null
+++ b/packages/gateway/ibisring_gateway/throttling.py
@@ -0,0 +1,82 @@
+"""Admission of requests under the rate limits that endpoints state."""
+
+__all__ = ['Throttle', 'make_throttle']
+
+# Share of its objective for which a request may wait for a rate limit.
+MAX_WAIT_SHARE = 0.5
+# Before a stream is broken off, another endpoint's limit must allow it to be
+# resumed there within this many seconds.
+SOON_SECONDS = 1.0
+
+
+class Throttle:
+    """Admits requests by the view's limits, by rank and fair share.
+
+    Parameters
+    ----------
+    view : view.View
+    rng : random.Random
+    """
+
+    def __init__(self, view, rng):
+        self.view = view
+        self.rng = rng
+
+    def admit(self, job, endpoint_id, now, max_wait):
+        """Admit a request at an endpoint and count it against the limit.
+
+        Parameters
+        ----------
+        job : jobs.Job
+        endpoint_id : str
+        now : float
+        max_wait : float
+            Longest time in seconds that it may wait.
+
+        Returns
+        -------
+        float or None
+            Seconds that it has to wait; None if it is not admitted.
+        """
+        rank, account = job.match.priority, job.match.account
+        with self.view.lock:
+            limits, fairness = self.view.limits, self.view.fairness
+            if limits.rate(endpoint_id) is None:
+                return 0.0
+            if fairness.is_outranked(rank, account, now):
+                return None
+            wait = limits.acquire(endpoint_id, now, max_wait)
+            if wait is not None:
+                fairness.granted(rank, account, now)
+            return wait
+
+    def refuse(self, job, now):
+        """Return the seconds after which a refused request may be admitted.
+
+        The refusal is recorded: requests that arrive later and rank lower, or
+        whose account exceeds its share, don't overtake it.
+        """
+        with self.view.lock:
+            fairness = self.view.fairness
+            fairness.refused(job.match.priority, job.match.account, now)
+            return self.view.limits.retry_after(
+                job.limited,
+                fairness.recent_refusals(now),
+                now,
+                self.rng.random(),
+            )
+
+    def with_capacity_soon(self, endpoint_ids, now):
+        """Return the endpoints whose limits allow a request soon."""
+        with self.view.lock:
+            wait = self.view.limits.wait
+            return {
+                endpoint_id
+                for endpoint_id in endpoint_ids
+                if wait(endpoint_id, now) <= SOON_SECONDS
+            }
+
+
+def make_throttle(view, rng):
+    """Make a `Throttle`."""
+    return Throttle(view, rng)
