--- a/packages/gateway/ibisring_gateway/changes.py
+++ b/packages/gateway/ibisring_gateway/changes.py
@@ -14,15 +14,15 @@
 # Seconds for which the copies of one message may saturate the sender's link;
 # a stream that pauses much longer counts as late.  Larger changes are not
 # sent, and each router reads them from the store itself.
-MOST_SECONDS = 0.1
+MAX_LINK_SECONDS = 0.1
 # Size limits of a packed message in bytes: if the speed of the link is not
 # known, and in any case.
-USUAL_PACKED = 8000
-MOST_PACKED = 50000
-BITS = 8
-MBIT = 1e6
+DEFAULT_PACKED_BYTES = 8000
+MAX_PACKED_BYTES = 50000
+BITS_PER_BYTE = 8
+BITS_PER_MBIT = 1e6
 # Size limit in bytes after decompression.
-MOST_UNPACKED = 1_000_000
+MAX_UNPACKED_BYTES = 1_000_000
 
 
 class Changes(msgspec.Struct, array_like=True):
@@ -37,7 +37,7 @@
     position: int
     changed: int
     endpoints: list[routing.Endpoint] = []
-    gone: list[str] = []
+    removed: list[str] = []
     table: tablechanges.TableChange | None = None
 
     def items(self, known):
@@ -54,8 +54,8 @@
             None if the change is relative to another table.
         """
         if not self.is_table:
-            gone = [ports.Gone(name) for name in self.gone]
-            return [*self.endpoints, *gone]
+            removed = [ports.Gone(name) for name in self.removed]
+            return [*self.endpoints, *removed]
         if known is None or known.version != self.table.base:
             return None
         return [tablechanges.patched(known, self.table)]
@@ -87,10 +87,16 @@
 
 def endpoint_changes(page, before):
     """Encode a page of endpoints as a change since `before`."""
-    last = {item.id: item for item in page.items}
-    gone = [n for n, item in last.items() if isinstance(item, ports.Gone)]
-    endpoints = [item for name, item in last.items() if name not in set(gone)]
-    return Changes(False, before, page.position, page.changed, endpoints, gone)
+    last_by_id = {item.id: item for item in page.items}
+    removed = [
+        n for n, item in last_by_id.items() if isinstance(item, ports.Gone)
+    ]
+    endpoints = [
+        item for name, item in last_by_id.items() if name not in set(removed)
+    ]
+    return Changes(
+        False, before, page.position, page.changed, endpoints, removed
+    )
 
 
 def pack(changes, copies, link):
@@ -110,11 +116,17 @@
         Empty if the result is too large to send.
     """
     packed = zlib.compress(msgspec.msgpack.encode(changes))
-    most = USUAL_PACKED
+    max_bytes = DEFAULT_PACKED_BYTES
     if link:
-        fits = MOST_SECONDS * link * MBIT / BITS / max(1, copies)
-        most = min(MOST_PACKED, fits)
-    return packed if len(packed) <= most else b''
+        link_bytes = (
+            MAX_LINK_SECONDS
+            * link
+            * BITS_PER_MBIT
+            / BITS_PER_BYTE
+            / max(1, copies)
+        )
+        max_bytes = min(MAX_PACKED_BYTES, link_bytes)
+    return packed if len(packed) <= max_bytes else b''
 
 
 def unpack(packed):
@@ -125,8 +137,8 @@
     MalformedMessage
     """
     try:
-        reader = zlib.decompressobj()
-        data = reader.decompress(packed, MOST_UNPACKED)
+        decompressor = zlib.decompressobj()
+        data = decompressor.decompress(packed, MAX_UNPACKED_BYTES)
         return msgspec.msgpack.decode(data, type=Changes)
     except (zlib.error, msgspec.MsgspecError) as error:
         raise exceptions.MalformedMessage(f'changes: {error}') from error
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -65,11 +65,11 @@
             if attempt.stages:
                 self._examine_chain(attempt)
             else:
-                attempt.break_off(attempts.End.SILENT)
+                attempt.abort(attempts.End.SILENT)
         except Exception:
             LOG.exception('examination_failed %s', attempt.request_id)
         finally:
-            attempt.looking = False
+            attempt.is_checking = False
 
     def _examine_chain(self, attempt):
         attempt.checks += 1
@@ -89,7 +89,7 @@
             events=attempt.events,
         )
         if attempt.endpoint.id in lost:
-            attempt.break_off(attempts.End.SILENT)
+            attempt.abort(attempts.End.SILENT)
             return
         # Engines refuse a path with a stage that is leaving or has given up
         # its layers, so such stages are replaced along with the lost ones.
@@ -105,7 +105,7 @@
         before the caller gives up.
         """
         if self.selector.has_other(attempt, now):
-            attempt.break_off(attempts.End.SILENT)
+            attempt.abort(attempts.End.SILENT)
         else:
             attempt.check_at = now + AFTER_LOOK
 
@@ -113,7 +113,7 @@
         if attempt.checks > MOST_LOOKS and self.selector.has_other(
             attempt, now
         ):
-            attempt.break_off(attempts.End.SILENT)
+            attempt.abort(attempts.End.SILENT)
             return
         looks = min(MOST_LOOKS, attempt.checks)
         attempt.check_at = now + AFTER_LOOK * 2 ** (looks - 1)
@@ -159,7 +159,7 @@
             attempt.last_event_at + attempt.mean_gap, self.clock() - VOUCHES
         )
         found = set()
-        for other in self.watcher.all():
+        for other in self.watcher.attempts():
             if (
                 other is not attempt
                 and other.events
@@ -176,13 +176,13 @@
         moving them early costs only a second prefill of the prompt.
         """
         snapshot = self.view.snapshot
-        for attempt in self.watcher.all():
-            if attempt.stages and attempt.events and not attempt.looking:
+        for attempt in self.watcher.attempts():
+            if attempt.stages and attempt.events and not attempt.is_checking:
                 leaving = _leaving(attempt, snapshot.endpoints)
-                if leaving == attempt.stuck:
+                if leaving == attempt.unmovable_stages:
                     continue
-                if leaving and attempt.moves < MOST_MOVES:
-                    attempt.looking = True
+                if leaving and attempt.reroutes < MOST_MOVES:
+                    attempt.is_checking = True
                     self.pool.submit(self._evacuate, attempt, leaving)
         with self.view.lock:
             now = self.clock()
@@ -198,16 +198,16 @@
         try:
             is_head = attempt.endpoint.id in leaving
             if not is_head and self._go_round(attempt, leaving):
-                attempt.moves += 1
-                attempt.stuck = None
+                attempt.reroutes += 1
+                attempt.unmovable_stages = None
             elif not self._clear_out(attempt):
                 # Retried only when the set of leaving engines changes, not
                 # at every check, so that failing tries don't use up moves.
-                attempt.stuck = leaving
+                attempt.unmovable_stages = leaving
         except Exception:
             LOG.exception('evacuation_failed %s', attempt.request_id)
         finally:
-            attempt.looking = False
+            attempt.is_checking = False
 
     def _clear_out(self, attempt):
         """End an attempt that keeps an engine from loading new layers.
@@ -228,7 +228,7 @@
             id=attempt.request_id,
             engines=sorted(_gave_up(attempt, endpoints)),
         )
-        attempt.break_off(attempts.End.SILENT)
+        attempt.abort(attempts.End.SILENT)
         return True
 
     def _go_round(self, attempt, lost):
--- a/packages/gateway/ibisring_gateway/feeds.py
+++ b/packages/gateway/ibisring_gateway/feeds.py
@@ -36,7 +36,7 @@
         self.host = host
         self.port = int(port)
         self.conn = None
-        self.is_ended = False
+        self.is_cancelled = False
 
     def get(self, target, timeout):
         """Make a call.
@@ -63,7 +63,7 @@
         """
         self._connect()
         try:
-            self._check_ended()
+            self._check_cancelled()
             self.conn.timeout = timeout
             self.conn.sock.settimeout(timeout)
             self.conn.request('GET', target)
@@ -71,7 +71,7 @@
             return response.status, response.data
         except _FAILURES as error:
             self._close()
-            self._check_ended()
+            self._check_cancelled()
             raise exceptions.PlatformAnswerLost(str(error)) from error
 
     def cancel_call(self):
@@ -80,7 +80,7 @@
         Shutting the socket down wakes a thread that is blocked reading from
         it; closing it would not.
         """
-        self.is_ended = True
+        self.is_cancelled = True
         conn = self.conn
         sock = conn.sock if conn is not None else None
         if sock is None:
@@ -88,7 +88,7 @@
         try:
             sock.shutdown(socket.SHUT_RDWR)
         except OSError as error:
-            LOG.debug('already_closed %s', error)
+            LOG.debug('socket already closed: %s', error)
 
     def _connect(self):
         if self.conn is not None and self.conn.sock is not None:
@@ -102,11 +102,11 @@
             self._close()
             raise exceptions.PlatformUnavailable(str(error)) from error
 
-    def _check_ended(self):
-        if self.is_ended:
-            self.is_ended = False
+    def _check_cancelled(self):
+        if self.is_cancelled:
+            self.is_cancelled = False
             self._close()
-            raise ports.CallEnded('a new call begins')
+            raise ports.CallEnded('cancelled to start a new call')
 
     def _close(self):
         self.conn.close()
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -17,10 +17,10 @@
 
 class _Watcher:
     def __init__(self):
-        self.attempts = []
+        self.watched = []
 
-    def all(self):
-        return self.attempts
+    def attempts(self):
+        return self.watched
 
 
 def _engine(name, first, end, domain='a', **changes):
@@ -64,7 +64,7 @@
         attempt.events = 5
         attempt.tokens = 10.0
         attempt.last_event_at = time.monotonic() - 0.1
-        self.watcher.attempts.append(attempt)
+        self.watcher.watched.append(attempt)
         self.selector.reserve(attempt)
         return attempt
 
@@ -247,7 +247,7 @@
         scene.doctor.run_checks()
         time.sleep(0.02)
     scene.settle()
-    assert scene.attempt.moves == 0
+    assert scene.attempt.reroutes == 0
     scene.doctor.stop()
 
 
--- a/packages/gateway/ibisring_gateway/tests/test_watching.py
+++ b/packages/gateway/ibisring_gateway/tests/test_watching.py
@@ -10,7 +10,7 @@
 
 
 class _Watcher(watching.Watcher):
-    """Has no thread; the tests call `look`."""
+    """Has no thread; the tests call `check`."""
 
     def start(self):
         return self
@@ -31,39 +31,43 @@
     return attempt, ours, theirs
 
 
-def test_it_sleeps_until_something_is_due():
+def test_thread_sleeps_until_an_attempt_is_due():
     """Failure: 100 wake-ups a second for one stream, where 15 suffice."""
-    assert watching.MOST_SLEEP < selecting.LEAST_GAP
+    assert watching.MAX_SLEEP_SECONDS < selecting.LEAST_GAP
     watcher, clock, _ = _watcher()
-    assert watcher.sleep(clock()) == watching.IDLE_SLEEP
+    assert watcher.sleep_seconds(clock()) == watching.IDLE_SLEEP_SECONDS
     attempt, ours, _ = _attempt(watcher, clock)
-    assert watcher.sleep(clock()) == pytest.approx(watching.MOST_SLEEP)
+    assert watcher.sleep_seconds(clock()) == pytest.approx(
+        watching.MAX_SLEEP_SECONDS
+    )
     attempt.check_at = clock() + 0.02
-    assert watcher.sleep(clock()) == pytest.approx(0.02)
-    attempt.looking = True
-    assert watcher.sleep(clock()) == pytest.approx(watching.MOST_SLEEP)
+    assert watcher.sleep_seconds(clock()) == pytest.approx(0.02)
+    attempt.is_checking = True
+    assert watcher.sleep_seconds(clock()) == pytest.approx(
+        watching.MAX_SLEEP_SECONDS
+    )
     attempt.deadline = clock()
-    assert watcher.sleep(clock()) == watching.LEAST_SLEEP
+    assert watcher.sleep_seconds(clock()) == watching.MIN_SLEEP_SECONDS
     watcher.remove(ours)
 
 
-def test_what_is_due_is_looked_at_once():
+def test_silent_attempt_is_reported_once():
     watcher, clock, silent = _watcher()
     attempt, ours, _ = _attempt(watcher, clock)
     attempt.check_at = clock() + 0.06
-    watcher.look(clock())
+    watcher.check(clock())
     assert not silent
     clock.now += 0.06
-    watcher.look(clock())
-    watcher.look(clock())
+    watcher.check(clock())
+    watcher.check(clock())
     assert silent == [attempt]
     watcher.remove(ours)
 
 
-def test_an_attempt_out_of_time_is_broken_off():
+def test_attempt_past_its_deadline_is_aborted():
     watcher, clock, _ = _watcher()
     attempt, ours, _ = _attempt(watcher, clock)
     clock.now += 10.0
-    watcher.look(clock())
+    watcher.check(clock())
     assert attempt.end is attempts.End.DEADLINE
     watcher.remove(ours)
--- a/packages/gateway/ibisring_gateway/view.py
+++ b/packages/gateway/ibisring_gateway/view.py
@@ -18,7 +18,7 @@
 
 # Seconds for which an engine's report is included in gossip.  Of 83 routers,
 # each sending to six others four times a second, most receive it.
-LEARNT_TOLD_FOR = 3.0
+REPORT_GOSSIP_SECONDS = 3.0
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -100,9 +100,13 @@
     def holdings_to_send(self, now):
         """Return recent reports: start time, first layer and end by engine."""
         found = {}
-        for name, (at, started, held) in list(self.reported_holdings.items()):
-            if now - at < LEARNT_TOLD_FOR:
-                first, end = (held.first, held.end) if held else (0, 0)
+        for name, (at, started, holding) in list(
+            self.reported_holdings.items()
+        ):
+            if now - at < REPORT_GOSSIP_SECONDS:
+                first, end = (
+                    (holding.first, holding.end) if holding else (0, 0)
+                )
                 found[name] = started, first, end
         return found
 
--- a/packages/gateway/ibisring_gateway/watching.py
+++ b/packages/gateway/ibisring_gateway/watching.py
@@ -15,10 +15,10 @@
 # of a caller ends the sleep at once.  The upper bound is a little less than
 # the shortest time from an event of a stream to its next check, so that an
 # attempt added during the sleep is still checked on time.
-LEAST_SLEEP = 0.005
-MOST_SLEEP = 0.05
-IDLE_SLEEP = 1.0
-_LEFT = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+MIN_SLEEP_SECONDS = 0.005
+MAX_SLEEP_SECONDS = 0.05
+IDLE_SLEEP_SECONDS = 1.0
+_DISCONNECT_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 
 
 class Attempt:
@@ -36,7 +36,7 @@
         Monotonic times.
     checks : int
         Checks of its stages since the last event.
-    looking : bool
+    is_checking : bool
         Whether its stages are being checked.
     mean_gap : float
         Moving average of the seconds between events.
@@ -44,10 +44,10 @@
         Events received.
     tokens : float
         Size in tokens, as reserved at its stages.
-    moves : int
+    reroutes : int
         Times that it was moved off stages that were leaving.
-    stuck : set of str or None
-        Leaving stages that it could not be moved off.
+    unmovable_stages : set of str or None
+        Leaving stages that could not be replaced.
     may_change_endpoint : bool
         Whether the request may still go to another first endpoint.
     """
@@ -63,12 +63,12 @@
         'sent_at',
         'last_event_at',
         'checks',
-        'looking',
+        'is_checking',
         'mean_gap',
         'events',
         'tokens',
-        'moves',
-        'stuck',
+        'reroutes',
+        'unmovable_stages',
         'may_change_endpoint',
     )
 
@@ -83,15 +83,15 @@
         self.sent_at = 0.0
         self.last_event_at = 0.0
         self.checks = 0
-        self.looking = False
+        self.is_checking = False
         self.mean_gap = 0.0
         self.events = 0
         self.tokens = 0.0
-        self.moves = 0
-        self.stuck = None
+        self.reroutes = 0
+        self.unmovable_stages = None
         self.may_change_endpoint = True
 
-    def break_off(self, end):
+    def abort(self, end):
         """End the attempt and wake the thread that reads its answer.
 
         Shutting the socket down wakes a thread that is blocked reading from
@@ -104,7 +104,7 @@
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError as error:
-                LOG.debug('already_closed %s', error)
+                LOG.debug('socket already closed: %s', error)
 
 
 class Watcher:
@@ -144,10 +144,10 @@
         fd = caller_socket.fileno()
         with self.lock:
             was_idle = not self.by_fd
-            known = fd in self.by_fd
+            is_registered = fd in self.by_fd
             self.by_fd[fd] = attempt
-            if not known:
-                self.epoll.register(fd, _LEFT)
+            if not is_registered:
+                self.epoll.register(fd, _DISCONNECT_EVENTS)
         if was_idle:
             self.wake_writer.send(b'x')
 
@@ -162,7 +162,7 @@
         """Return the number of attempts being watched."""
         return len(self.by_fd)
 
-    def all(self):
+    def attempts(self):
         """Return the attempts being watched."""
         with self.lock:
             return list(self.by_fd.values())
@@ -171,24 +171,24 @@
         try:
             self.epoll.unregister(fd)
         except (OSError, ValueError) as error:
-            LOG.debug('not_registered %s', error)
+            LOG.debug('socket not registered: %s', error)
 
     def _loop(self):
         while not self.stopped:
-            for fd, _ in self.epoll.poll(self.sleep(self.clock())):
+            for fd, _ in self.epoll.poll(self.sleep_seconds(self.clock())):
                 self._on_event(fd)
-            self.look(self.clock())
+            self.check(self.clock())
 
-    def sleep(self, now):
+    def sleep_seconds(self, now):
         """Return the seconds until an attempt is next due."""
         if not self.by_fd:
-            return IDLE_SLEEP
-        dues = [now + MOST_SLEEP]
-        for attempt in self.all():
-            dues.append(attempt.deadline)
-            if attempt.check_at is not None and not attempt.looking:
-                dues.append(attempt.check_at)
-        return max(LEAST_SLEEP, min(dues) - now)
+            return IDLE_SLEEP_SECONDS
+        due_times = [now + MAX_SLEEP_SECONDS]
+        for attempt in self.attempts():
+            due_times.append(attempt.deadline)
+            if attempt.check_at is not None and not attempt.is_checking:
+                due_times.append(attempt.check_at)
+        return max(MIN_SLEEP_SECONDS, min(due_times) - now)
 
     def _on_event(self, fd):
         if fd == self.wake_reader.fileno():
@@ -198,16 +198,16 @@
             attempt = self.by_fd.get(fd)
             self._unregister(fd)
         if attempt is not None:
-            attempt.break_off(attempts.End.CALLER_GONE)
+            attempt.abort(attempts.End.CALLER_GONE)
 
-    def look(self, now):
+    def check(self, now):
         """Abort attempts past their deadline; report silent ones."""
-        for attempt in self.all():
+        for attempt in self.attempts():
             if now >= attempt.deadline:
-                attempt.break_off(attempts.End.DEADLINE)
+                attempt.abort(attempts.End.DEADLINE)
             elif attempt.check_at is not None and now >= attempt.check_at:
-                if not attempt.looking and attempt.end is None:
-                    attempt.looking = True
+                if not attempt.is_checking and attempt.end is None:
+                    attempt.is_checking = True
                     self.on_silence(attempt)
 
 
