--- a/packages/gateway/ibisring_gateway/asking.py
+++ b/packages/gateway/ibisring_gateway/asking.py
@@ -1,6 +1,6 @@
 """Status queries to engines, and the health updates that result."""
 
-__all__ = ['Asker', 'make_asker']
+__all__ = ['StatusQuerier', 'make_status_querier']
 
 import concurrent.futures
 import logging
@@ -14,19 +14,19 @@
 # Bounds in seconds of the timeout of a status query while a caller waits.
 # The endpoint needs no free slot to answer, and a stream counts as late after
 # a pause of 0.2 s.
-LEAST_TIMEOUT = 0.035
-MOST_TIMEOUT = 0.12
+MIN_TIMEOUT_SECONDS = 0.035
+MAX_TIMEOUT_SECONDS = 0.12
 # Timeout in seconds for an endpoint that counts as unreachable: no caller
 # waits for this answer, and an endpoint that is only slow must not stay
 # excluded for as long as it is slow.
-REVIVE_TIMEOUT = 0.15
+PROBE_TIMEOUT_SECONDS = 0.15
 # Seconds for which a query is shared: when a stage dies, all requests that
 # pass through it fall silent together.
-FRESH = 0.05
+SHARED_SECONDS = 0.05
 WORKERS = 24
 
 
-class Asker:
+class StatusQuerier:
     """Queries several engines concurrently for their status.
 
     Parameters
@@ -41,19 +41,21 @@
         self.engines = engines
         self.metrics = metrics
         self.clock = view.clock
-        self.patience = patience.make_patience(LEAST_TIMEOUT, MOST_TIMEOUT)
+        self.timeout = patience.make_patience(
+            MIN_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS
+        )
         # Separate from the pool that checks attempts, whose threads wait for
         # these queries: in a shared pool, when many requests fall silent
         # together, all threads would wait for a free one and every stage
         # would seem lost.
         self.pool = concurrent.futures.ThreadPoolExecutor(WORKERS)
-        self.asked = {}
+        self.recent_queries = {}
 
     def stop(self):
         """Shut the thread pool down without waiting."""
         self.pool.shutdown(wait=False, cancel_futures=True)
 
-    def ask(self, endpoint):
+    def query(self, endpoint):
         """Query an endpoint's status, or share a query just sent.
 
         Returns
@@ -63,33 +65,33 @@
         """
         now = self.clock()
         with self.view.lock:
-            known = self.asked.get(endpoint.id)
-            if known is not None and now - known[0] < FRESH:
-                return known[1]
-            timeout = self.patience.limit
+            recent = self.recent_queries.get(endpoint.id)
+            if recent is not None and now - recent[0] < SHARED_SECONDS:
+                return recent[1]
+            timeout = self.timeout.limit
             future = self.pool.submit(self._status, endpoint, timeout)
-            self.asked[endpoint.id] = now, future
+            self.recent_queries[endpoint.id] = now, future
             return future
 
-    def answered(self, future):
+    def is_answered(self, future):
         """Wait for a query and return whether it was answered in time."""
         try:
-            return future.result(timeout=4 * MOST_TIMEOUT) is not None
+            return future.result(timeout=4 * MAX_TIMEOUT_SECONDS) is not None
         except concurrent.futures.TimeoutError:
             LOG.debug('status query timed out waiting for a free thread')
             return False
 
-    def revive(self, endpoint):
+    def probe(self, endpoint):
         """Probe an unreachable endpoint in the background."""
-        self.pool.submit(self._revive, endpoint)
+        self.pool.submit(self._probe, endpoint)
 
-    def look_at_pace(self, endpoint):
+    def refresh_slowdown(self, endpoint):
         """Query a slow endpoint's current pace in the background."""
-        self.pool.submit(self._status, endpoint, REVIVE_TIMEOUT)
+        self.pool.submit(self._status, endpoint, PROBE_TIMEOUT_SECONDS)
 
     def _status(self, endpoint, timeout):
         self.metrics.count('status_asked')
-        begun = self.clock()
+        started_at = self.clock()
         try:
             status = self.engines.status(endpoint.address, timeout)
         except exceptions.IbisringError as error:
@@ -98,11 +100,11 @@
             )
             return None
         with self.view.lock:
-            self.patience.answered(self.clock() - begun)
-        self._note_pace(endpoint, status)
+            self.timeout.answered(self.clock() - started_at)
+        self._record_slowdown(endpoint, status)
         return status
 
-    def _note_pace(self, endpoint, status):
+    def _record_slowdown(self, endpoint, status):
         now = self.clock()
         with self.view.lock:
             before = self.view.book.pace(endpoint.id, now)
@@ -111,18 +113,18 @@
         if (before < loadbook.SLOW) != (after < loadbook.SLOW):
             logs.event(LOG, 'pace', endpoint=endpoint.id, pace=status.pace)
 
-    def _revive(self, endpoint):
-        alive = self._status(endpoint, REVIVE_TIMEOUT) is not None
+    def _probe(self, endpoint):
+        alive = self._status(endpoint, PROBE_TIMEOUT_SECONDS) is not None
         now = self.clock()
         with self.view.lock:
             if alive:
-                self.patience.late_but_alive()
+                self.timeout.late_but_alive()
                 self.view.book.reached(endpoint.id, now)
             else:
                 self.view.book.unreachable(endpoint.id, now)
         logs.event(LOG, 'asked_again', endpoint=endpoint.id, alive=alive)
 
 
-def make_asker(view, engines, metrics):
+def make_status_querier(view, engines, metrics):
     """Make an `Asker`."""
-    return Asker(view, engines, metrics)
+    return StatusQuerier(view, engines, metrics)
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -13,20 +13,20 @@
 
 LOG = logging.getLogger(__name__)
 # Seconds for which an event of another request shows that a stage is alive.
-VOUCHES = 0.05
+PROOF_SECONDS = 0.05
 # If more than this share of the stages queried fail at once, this router is
 # more likely slow or disconnected than all of them are down.
-MOST_LOST_SHARE = 0.7
+MAX_LOST_SHARE = 0.7
 # Seconds until the next check after stages were replaced, and after the first
 # check that found nothing wrong; the wait doubles with each further check.
-AFTER_REPAIR = 0.25
-AFTER_LOOK = 0.06
+REPLACEMENT_PAUSE_SECONDS = 0.25
+RECHECK_SECONDS = 0.06
 # Checks without a finding before the request is sent elsewhere: a stage that
 # has lost its own links to other stages still answers status queries.
-MOST_LOOKS = 4
+MAX_CHECKS = 4
 WORKERS = 24
 # Limit of the times that a request is moved off engines that leave.
-MOST_MOVES = 3
+MAX_REROUTES = 3
 
 
 class StallHandler:
@@ -49,36 +49,38 @@
         self.metrics = metrics
         self.clock = view.clock
         self.pool = concurrent.futures.ThreadPoolExecutor(WORKERS)
-        self.asker = asking.make_asker(view, engines, metrics)
+        self.querier = asking.make_status_querier(view, engines, metrics)
 
     def stop(self):
         """Shut the thread pools down without waiting."""
         self.pool.shutdown(wait=False, cancel_futures=True)
-        self.asker.stop()
+        self.querier.stop()
 
     def handle(self, attempt):
         """Check a silent attempt in the background."""
-        self.pool.submit(self._examine, attempt)
+        self.pool.submit(self._check, attempt)
 
-    def _examine(self, attempt):
+    def _check(self, attempt):
         try:
             if attempt.stages:
-                self._examine_chain(attempt)
+                self._check_stages(attempt)
             else:
                 attempt.abort(attempts.End.SILENT)
         except Exception:
-            LOG.exception('examination_failed %s', attempt.request_id)
+            LOG.exception(
+                'stage check failed for request %s', attempt.request_id
+            )
         finally:
             attempt.is_checking = False
 
-    def _examine_chain(self, attempt):
+    def _check_stages(self, attempt):
         attempt.checks += 1
         lost = self._find_lost(attempt)
         now = self.clock()
         if attempt.end is not None:
             return
         if not lost:
-            self._nothing_found(attempt, now)
+            self._recheck_or_restart(attempt, now)
             return
         logs.event(
             LOG,
@@ -94,11 +96,11 @@
         # Engines refuse a path with a stage that is leaving or has given up
         # its layers, so such stages are replaced along with the lost ones.
         lost |= _leaving(attempt, self.view.snapshot.endpoints)
-        is_head = attempt.endpoint.id in lost
-        if is_head or not self._go_round(attempt, lost):
-            self._start_elsewhere(attempt, now)
+        is_first_lost = attempt.endpoint.id in lost
+        if is_first_lost or not self._reroute(attempt, lost):
+            self._restart_elsewhere(attempt, now)
 
-    def _start_elsewhere(self, attempt, now):
+    def _restart_elsewhere(self, attempt, now):
         """End an attempt that can't be rerouted, if another chain has room.
 
         Otherwise the attempt stays: the lost layers may be loaded elsewhere
@@ -107,47 +109,47 @@
         if self.selector.has_other(attempt, now):
             attempt.abort(attempts.End.SILENT)
         else:
-            attempt.check_at = now + AFTER_LOOK
+            attempt.check_at = now + RECHECK_SECONDS
 
-    def _nothing_found(self, attempt, now):
-        if attempt.checks > MOST_LOOKS and self.selector.has_other(
+    def _recheck_or_restart(self, attempt, now):
+        if attempt.checks > MAX_CHECKS and self.selector.has_other(
             attempt, now
         ):
             attempt.abort(attempts.End.SILENT)
             return
-        looks = min(MOST_LOOKS, attempt.checks)
-        attempt.check_at = now + AFTER_LOOK * 2 ** (looks - 1)
+        checks = min(MAX_CHECKS, attempt.checks)
+        attempt.check_at = now + RECHECK_SECONDS * 2 ** (checks - 1)
 
     def _find_lost(self, attempt):
         """Return the ids of the stages that do not answer."""
         by_id = self.view.snapshot.endpoints
         names = [stage.endpoint for stage in attempt.stages]
         with self.view.lock:
-            gone = {n for n in names if n not in by_id}
-            gone |= {n for n in names if self.view.book.is_dead(n)}
-        vouched = self._vouched(attempt)
-        asked = [by_id[n] for n in names if n not in gone | vouched]
-        questions = [self.asker.ask(endpoint) for endpoint in asked]
+            unavailable = {n for n in names if n not in by_id}
+            unavailable |= {n for n in names if self.view.book.is_dead(n)}
+        alive = self._proven_alive(attempt)
+        queried = [by_id[n] for n in names if n not in unavailable | alive]
+        queries = [self.querier.query(endpoint) for endpoint in queried]
         lost = {
             endpoint.id
-            for endpoint, question in zip(asked, questions)
-            if not self.asker.answered(question)
+            for endpoint, query_future in zip(queried, queries)
+            if not self.querier.is_answered(query_future)
         }
-        if len(lost) > max(1, MOST_LOST_SHARE * len(asked)):
+        if len(lost) > max(1, MAX_LOST_SHARE * len(queried)):
             logs.event(
-                LOG, 'all_silent', id=attempt.request_id, asked=len(asked)
+                LOG, 'all_silent', id=attempt.request_id, asked=len(queried)
             )
             return set()
         now = self.clock()
         with self.view.lock:
-            for endpoint in asked:
+            for endpoint in queried:
                 if endpoint.id in lost:
                     self.view.book.unreachable(endpoint.id, now)
                 else:
                     self.view.book.reached(endpoint.id, now)
-        return lost | gone
+        return lost | unavailable
 
-    def _vouched(self, attempt):
+    def _proven_alive(self, attempt):
         """Return the stages of other requests that had an event just now.
 
         A status query costs time at the engine and here, and a stage that
@@ -156,7 +158,8 @@
         this request proves nothing about the time since.
         """
         since = max(
-            attempt.last_event_at + attempt.mean_gap, self.clock() - VOUCHES
+            attempt.last_event_at + attempt.mean_gap,
+            self.clock() - PROOF_SECONDS,
         )
         found = set()
         for other in self.watcher.attempts():
@@ -181,35 +184,37 @@
                 leaving = _leaving(attempt, snapshot.endpoints)
                 if leaving == attempt.unmovable_stages:
                     continue
-                if leaving and attempt.reroutes < MOST_MOVES:
+                if leaving and attempt.reroutes < MAX_REROUTES:
                     attempt.is_checking = True
-                    self.pool.submit(self._evacuate, attempt, leaving)
+                    self.pool.submit(self._move_off, attempt, leaving)
         with self.view.lock:
             now = self.clock()
             names = self.view.book.to_revive(snapshot.endpoints, now)
             slow = self.view.book.to_ask_pace(now)
         for name in names:
-            self.asker.revive(snapshot.endpoints[name])
+            self.querier.probe(snapshot.endpoints[name])
         for name in slow:
             if name in snapshot.endpoints:
-                self.asker.look_at_pace(snapshot.endpoints[name])
+                self.querier.refresh_slowdown(snapshot.endpoints[name])
 
-    def _evacuate(self, attempt, leaving):
+    def _move_off(self, attempt, leaving):
         try:
-            is_head = attempt.endpoint.id in leaving
-            if not is_head and self._go_round(attempt, leaving):
+            is_first_leaving = attempt.endpoint.id in leaving
+            if not is_first_leaving and self._reroute(attempt, leaving):
                 attempt.reroutes += 1
                 attempt.unmovable_stages = None
-            elif not self._clear_out(attempt):
+            elif not self._abort_blocking(attempt):
                 # Retried only when the set of leaving engines changes, not
                 # at every check, so that failing tries don't use up moves.
                 attempt.unmovable_stages = leaving
         except Exception:
-            LOG.exception('evacuation_failed %s', attempt.request_id)
+            LOG.exception(
+                'rerouting failed for request %s', attempt.request_id
+            )
         finally:
             attempt.is_checking = False
 
-    def _clear_out(self, attempt):
+    def _abort_blocking(self, attempt):
         """End an attempt that keeps an engine from loading new layers.
 
         An engine ordered to hold other layers loads them only when the
@@ -218,7 +223,9 @@
         An attempt on an engine that is shutting down may finish there.
         """
         endpoints = self.view.snapshot.endpoints
-        if not attempt.may_change_endpoint or not _gave_up(attempt, endpoints):
+        if not attempt.may_change_endpoint or not _unloaded(
+            attempt, endpoints
+        ):
             return False
         if not self.selector.has_other(attempt, self.clock()):
             return False
@@ -226,12 +233,12 @@
             LOG,
             'cleared_out',
             id=attempt.request_id,
-            engines=sorted(_gave_up(attempt, endpoints)),
+            engines=sorted(_unloaded(attempt, endpoints)),
         )
         attempt.abort(attempts.End.SILENT)
         return True
 
-    def _go_round(self, attempt, lost):
+    def _reroute(self, attempt, lost):
         """Replace lost stages of a request, keeping its first one."""
         stages = self.selector.repair(attempt, lost, self.clock())
         if stages is None or stages == attempt.stages:
@@ -256,7 +263,7 @@
             return False
         if attempt.end is None:
             self.selector.move(attempt, stages)
-            attempt.check_at = self.clock() + AFTER_REPAIR
+            attempt.check_at = self.clock() + REPLACEMENT_PAUSE_SECONDS
         return True
 
 
@@ -267,10 +274,10 @@
         endpoint = endpoints.get(stage.endpoint)
         if endpoint is None or endpoint.state is routing.State.DRAINING:
             found.add(stage.endpoint)
-    return found | _gave_up(attempt, endpoints)
+    return found | _unloaded(attempt, endpoints)
 
 
-def _gave_up(attempt, endpoints):
+def _unloaded(attempt, endpoints):
     """Return the running engines that no longer hold their stage's layers."""
     found = set()
     for stage in attempt.stages:
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -29,7 +29,7 @@
     )
 
 
-class Scene:
+class Scenario:
     """A stall handler with an attempt over engines `h`, `m` and `t`."""
 
     def __init__(self, *spares):
@@ -45,7 +45,7 @@
         self.view = builders.view_of(self.endpoints, table)
         self.watcher = _Watcher()
         self.selector = selecting.make_selector(self.view)
-        self.doctor = doctor_module.make_stall_handler(
+        self.handler = doctor_module.make_stall_handler(
             self.view,
             self.engines,
             self.selector,
@@ -81,133 +81,133 @@
 
     def settle(self):
         """Wait for the handler's threads."""
-        self.doctor.pool.shutdown(wait=True)
+        self.handler.pool.shutdown(wait=True)
 
 
 @pytest.fixture
-def scene():
-    scene = Scene(_engine('m2', 8, 16, card='small'))
-    yield scene
-    scene.doctor.stop()
+def scenario():
+    scenario = Scenario(_engine('m2', 8, 16, card='small'))
+    yield scenario
+    scenario.handler.stop()
 
 
 def _names(stages):
     return [stage.endpoint for stage in stages]
 
 
-def test_a_lost_stage_is_gone_round_behind_the_same_head(scene):
-    scene.engines.dead.add('m:1')
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert scene.attempt.end is None
-    assert _names(scene.attempt.stages) == ['h', 'm2', 't']
-    assert scene.engines.moved[0][:2] == ('h', 'r1')
-    assert scene.view.book.is_dead('m')
+def test_lost_stage_is_replaced_behind_the_same_first_stage(scenario):
+    scenario.engines.dead.add('m:1')
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert scenario.attempt.end is None
+    assert _names(scenario.attempt.stages) == ['h', 'm2', 't']
+    assert scenario.engines.moved[0][:2] == ('h', 'r1')
+    assert scenario.view.book.is_dead('m')
 
 
-def test_a_lost_head_ends_the_attempt(scene):
-    scene.engines.dead.add('h:1')
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert scene.attempt.end is attempts.End.SILENT
-    assert scene.engines.moved == []
+def test_lost_first_stage_aborts_the_attempt(scenario):
+    scenario.engines.dead.add('h:1')
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert scenario.attempt.end is attempts.End.SILENT
+    assert scenario.engines.moved == []
 
 
-def test_a_stream_is_not_cut_while_no_other_chain_has_room():
+def test_stream_is_not_aborted_while_no_other_chain_has_room():
     """Failure: a stream is cut off although no other chain can take it over.
 
     A stage is lost and no other engine holds its layers.
     """
-    scene = Scene()
-    scene.engines.dead.add('m:1')
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert scene.attempt.end is None
-    assert scene.attempt.check_at > time.monotonic()
-    scene.doctor.stop()
+    scenario = Scenario()
+    scenario.engines.dead.add('m:1')
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert scenario.attempt.end is None
+    assert scenario.attempt.check_at > time.monotonic()
+    scenario.handler.stop()
 
 
-def test_stages_that_deliver_for_others_are_not_asked(scene):
-    other = scene.new_attempt('r2')
+def test_stages_that_deliver_for_others_are_not_queried(scenario):
+    other = scenario.new_attempt('r2')
     other.last_event_at = time.monotonic()
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert scene.engines.asked == []
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert scenario.engines.asked == []
 
 
-def test_an_event_that_was_under_way_vouches_for_nothing(scene):
+def test_event_in_transit_does_not_prove_a_stage_alive(scenario):
     """Failure: streams pause for 0.3 s though 0.1 s suffice to find the stage.
 
     A stage dies, and events that had already passed it still arrive for
     other requests.  They count as proof that all stages of their chains are
     alive, so the first check queries none, and the next is 0.1 s later.
     """
-    scene.engines.dead.add('m:1')
-    scene.attempt.mean_gap = 0.04
-    scene.attempt.last_event_at = time.monotonic() - 0.08
-    other = scene.new_attempt('r2')
-    other.last_event_at = scene.attempt.last_event_at + 0.035
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert 'm2' in _names(scene.attempt.stages)
+    scenario.engines.dead.add('m:1')
+    scenario.attempt.mean_gap = 0.04
+    scenario.attempt.last_event_at = time.monotonic() - 0.08
+    other = scenario.new_attempt('r2')
+    other.last_event_at = scenario.attempt.last_event_at + 0.035
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert 'm2' in _names(scenario.attempt.stages)
 
 
-def test_many_silent_requests_ask_each_stage_once(scene):
+def test_many_silent_requests_share_status_queries(scenario):
     """Failure: every stage of a site seems lost at once.
 
     An engine dies and thirty requests fall silent together.  Their checks
     take all threads of a pool shared with the queries that they wait for.
     """
-    scene.engines.dead.add('m:1')
-    others = [scene.new_attempt(f'q{n}') for n in range(40)]
+    scenario.engines.dead.add('m:1')
+    others = [scenario.new_attempt(f'q{n}') for n in range(40)]
     for attempt in others:
-        scene.doctor.handle(attempt)
-    scene.settle()
-    assert not scene.view.book.is_dead('t')
-    assert scene.engines.asked.count('t:1') <= 4
+        scenario.handler.handle(attempt)
+    scenario.settle()
+    assert not scenario.view.book.is_dead('t')
+    assert scenario.engines.asked.count('t:1') <= 4
     moved = [a for a in others if _names(a.stages) == ['h', 'm2', 't']]
     assert len(moved) == len(others)
 
 
-def test_when_all_seem_lost_the_router_doubts_itself(scene):
-    scene.engines.dead.update(('h:1', 'm:1', 't:1'))
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert not scene.view.book.is_dead('m')
-    assert scene.attempt.end is None
+def test_no_stage_counts_as_lost_if_all_fail_to_answer(scenario):
+    scenario.engines.dead.update(('h:1', 'm:1', 't:1'))
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert not scenario.view.book.is_dead('m')
+    assert scenario.attempt.end is None
 
 
 @pytest.mark.parametrize(
     'changes',
     [{'state': routing.State.DRAINING}, {'holding': None}],
 )
-def test_requests_move_off_an_engine_that_leaves(scene, changes):
-    scene.replace('m', **changes)
-    scene.doctor.run_checks()
-    scene.settle()
-    assert _names(scene.attempt.stages) == ['h', 'm2', 't']
+def test_requests_are_moved_off_a_leaving_engine(scenario, changes):
+    scenario.replace('m', **changes)
+    scenario.handler.run_checks()
+    scenario.settle()
+    assert _names(scenario.attempt.stages) == ['h', 'm2', 't']
 
 
-def test_a_stage_that_was_given_up_is_replaced_with_the_lost_one():
+def test_unloaded_stage_is_replaced_along_with_the_lost_one():
     """Failure: 659 of 788 moves off lost stages are refused.
 
     An engine that was ordered to hold other layers waits for its requests,
     and another engine of their chains is lost.  If only the lost stage is
     replaced, the path still has the stage that was given up and is refused.
     """
-    scene = Scene(
+    scenario = Scenario(
         _engine('m2', 8, 16, card='small'), _engine('t2', 16, 24, card='small')
     )
-    scene.replace('t', holding=None)
-    scene.engines.dead.add('m:1')
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert _names(scene.attempt.stages) == ['h', 'm2', 't2']
-    scene.doctor.stop()
+    scenario.replace('t', holding=None)
+    scenario.engines.dead.add('m:1')
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert _names(scenario.attempt.stages) == ['h', 'm2', 't2']
+    scenario.handler.stop()
 
 
-@pytest.mark.parametrize('given_up', ('h', 't'))
-def test_requests_end_at_an_engine_that_waits_for_them(given_up):
+@pytest.mark.parametrize('unloaded', ('h', 't'))
+def test_request_that_blocks_loading_is_restarted_elsewhere(unloaded):
     """Failure: a failure domain lacks four layers for ten seconds.
 
     A spare engine is ordered to hold them, but loads nothing until a request
@@ -223,58 +223,58 @@
         (others, False, None),
         (others[1:], True, None),
     ):
-        scene = Scene(*spares)
+        scenario = Scenario(*spares)
         # Makes the engine refuse a replacement of stages.
-        scene.engines.result = ports.OrderResult.CONFLICT
-        scene.replace(given_up, holding=None)
-        scene.attempt.may_change_endpoint = may_change_endpoint
-        scene.doctor.run_checks()
-        scene.settle()
-        assert scene.attempt.end is end
-        scene.doctor.stop()
+        scenario.engines.result = ports.OrderResult.CONFLICT
+        scenario.replace(unloaded, holding=None)
+        scenario.attempt.may_change_endpoint = may_change_endpoint
+        scenario.handler.run_checks()
+        scenario.settle()
+        assert scenario.attempt.end is end
+        scenario.handler.stop()
 
 
-def test_tries_without_another_engine_use_up_no_moves():
+def test_failed_moves_do_not_count_against_the_limit():
     """Failure: a spare engine waits seconds for the requests in it.
 
     One stage leaves and no other engine holds its layers.  Each check tries
     to move the request, and three failed tries use up its moves, so that it
     can't be moved when another stage has to be emptied.
     """
-    scene = Scene()
-    scene.replace('m', state=routing.State.DRAINING)
+    scenario = Scenario()
+    scenario.replace('m', state=routing.State.DRAINING)
     for _ in range(6):
-        scene.doctor.run_checks()
+        scenario.handler.run_checks()
         time.sleep(0.02)
-    scene.settle()
-    assert scene.attempt.reroutes == 0
-    scene.doctor.stop()
+    scenario.settle()
+    assert scenario.attempt.reroutes == 0
+    scenario.handler.stop()
 
 
-def test_the_dead_are_asked_again(scene):
-    scene.view.book.unreachable('t', time.monotonic() - 10.0)
-    scene.doctor.run_checks()
-    scene.settle()
-    scene.doctor.asker.pool.shutdown(wait=True)
-    assert not scene.view.book.is_dead('t')
+def test_unreachable_engine_is_probed_again(scenario):
+    scenario.view.book.unreachable('t', time.monotonic() - 10.0)
+    scenario.handler.run_checks()
+    scenario.settle()
+    scenario.handler.querier.pool.shutdown(wait=True)
+    assert not scenario.view.book.is_dead('t')
 
 
-def test_an_engine_that_answers_late_comes_back(scene):
+def test_engine_that_answers_late_recovers(scenario):
     """Failure: a fifth of the requests is refused though all engines run.
 
     An engine answers status queries after 50 ms for a while.  Streams are
     moved off it, and the probe that would bring it back has the same timeout
     of 35 ms.
     """
-    scene.engines.late['t:1'] = 0.05
-    scene.view.book.unreachable('t', time.monotonic() - 10.0)
-    scene.doctor.run_checks()
-    scene.settle()
-    scene.doctor.asker.pool.shutdown(wait=True)
-    assert not scene.view.book.is_dead('t')
+    scenario.engines.late['t:1'] = 0.05
+    scenario.view.book.unreachable('t', time.monotonic() - 10.0)
+    scenario.handler.run_checks()
+    scenario.settle()
+    scenario.handler.querier.pool.shutdown(wait=True)
+    assert not scenario.view.book.is_dead('t')
 
 
-def test_engines_that_answer_late_are_not_taken_for_lost_again(scene):
+def test_engines_that_answer_late_are_not_lost_again(scenario):
     """Failure: on a busy machine engines are taken for lost again and again.
 
     They answer status queries after 50 ms.  One is taken for lost, comes
@@ -282,13 +282,13 @@
     stays at 35 ms however long answers take.
     """
     for name in ('h:1', 'm:1', 't:1', 'm2:1'):
-        scene.engines.late[name] = 0.05
+        scenario.engines.late[name] = 0.05
     now = time.monotonic()
     for name in ('h', 'm', 't', 'm2'):
-        scene.view.book.unreachable(name, now - 10.0)
-    scene.doctor.run_checks()
+        scenario.view.book.unreachable(name, now - 10.0)
+    scenario.handler.run_checks()
     time.sleep(0.3)
-    assert scene.doctor.asker.patience.limit > 0.05
-    scene.doctor.handle(scene.attempt)
-    scene.settle()
-    assert not any(map(scene.view.book.is_dead, ('h', 'm', 't', 'm2')))
+    assert scenario.handler.querier.timeout.limit > 0.05
+    scenario.handler.handle(scenario.attempt)
+    scenario.settle()
+    assert not any(map(scenario.view.book.is_dead, ('h', 'm', 't', 'm2')))
