--- a/packages/gateway/ibisring_gateway/changes.py
+++ b/packages/gateway/ibisring_gateway/changes.py
@@ -28,14 +28,14 @@
 class Changes(msgspec.Struct, array_like=True):
     """Changes of one table after version `before`, up to `position`.
 
-    All versions are the store's; `changed` is that of the last change.
+    All versions are the store's; `newest_version` is that of the last change.
     Encoded as an array, so the order of the fields is the format.
     """
 
     is_table: bool
     before: int
     position: int
-    changed: int
+    newest_version: int
     endpoints: list[routing.Endpoint] = []
     removed: list[str] = []
     table: tablechanges.TableChange | None = None
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -1,6 +1,13 @@
 """Actor that maintains the endpoints and the routing table in force."""
 
-__all__ = ['Read', 'Failed', 'Confirmed', 'HoldingReport', 'Tick', 'Directory']
+__all__ = [
+    'ReadResult',
+    'ReadFailed',
+    'Confirmed',
+    'HoldingReport',
+    'Tick',
+    'Directory',
+]
 
 import logging
 
@@ -18,12 +25,12 @@
 SECOND_MS = 1000.0
 
 
-class Read(msgspec.Struct):
+class ReadResult(msgspec.Struct):
     """Result of a read; `whole` if the items are the complete table.
 
     `origin` names the store or a peer router; `position` is the store version
-    of the items, `changed` that of the newest one, `age` the seconds since
-    the store was read, `waited` the seconds that the call took.
+    of the items, `newest_version` that of the newest one, `age` the seconds
+    since the store was read, `waited` the seconds that the call took.
     """
 
     items: list
@@ -33,29 +40,29 @@
     position: int = 0
     age: float = 0.0
     waited: float = 0.0
-    changed: int = 0
+    newest_version: int = 0
 
 
 class Confirmed(msgspec.Struct):
     """Versions that a router which reads the store has confirmed as current.
 
     `table` is the version of the routing table, `table_position` the store
-    version up to which the table was read; `changed` is the store version at
-    which endpoints last changed, `position` the one up to which they were
-    read; `age` is the seconds since these reads.
+    version up to which the table was read; `newest_version` is the store
+    version at which endpoints last changed, `position` the one up to which
+    they were read; `age` is the seconds since these reads.
     """
 
     table: int
     table_position: int
-    changed: int
+    newest_version: int
     position: int
     age: float
 
 
-class Failed(msgspec.Struct):
+class ReadFailed(msgspec.Struct):
     """A read of the store failed after `waited` seconds."""
 
-    why: str
+    reason: str
     is_table: bool = False
     waited: float = 0.0
 
@@ -94,27 +101,29 @@
         self.on_change = on_change
         self.on_table = on_table
         self.presence = presence.make_presence()
-        self.lost = set()
+        self.lost_tables = set()
 
     def handlers(self):
         return {
-            Read: self.on_read,
-            Failed: self.on_failed,
+            ReadResult: self.on_read,
+            ReadFailed: self.on_read_failed,
             Confirmed: self.on_confirmed,
             HoldingReport: self.on_holding_report,
             Tick: self.on_tick,
         }
 
-    def on_failed(self, message):
+    def on_read_failed(self, message):
         """Record that the store does not answer."""
         now = self.view.clock()
         if self.presence.failed(now):
             self._replace(store_lost_at=now)
             self.metrics.count('store_lost')
-        source = _source(message)
-        if source not in self.lost:
-            self.lost.add(source)
-            self._log_touch('store_lost', message, now, why=message.why)
+        source = _table_name(message)
+        if source not in self.lost_tables:
+            self.lost_tables.add(source)
+            self._log_store_event(
+                'store_lost', message, now, why=message.reason
+            )
 
     def on_read(self, message):
         """Apply the result of a read."""
@@ -140,7 +149,7 @@
                 table_read_at=max(before.table_read_at, read_at),
                 table_position=known,
             )
-        if message.changed <= before.position:
+        if message.newest_version <= before.position:
             self._replace(
                 endpoints_read_at=max(before.endpoints_read_at, read_at),
                 position=max(before.position, message.position),
@@ -150,12 +159,12 @@
         self.view.lease_lost_at = None
         if self.presence.succeeded(now):
             self._replace(store_lost_at=None)
-        source = _source(message)
-        if source in self.lost:
-            self.lost.discard(source)
-            self._log_touch('store_regained', message, now)
+        source = _table_name(message)
+        if source in self.lost_tables:
+            self.lost_tables.discard(source)
+            self._log_store_event('store_regained', message, now)
 
-    def _log_touch(self, name, message, now, **facts):
+    def _log_store_event(self, name, message, now, **facts):
         """Log that the store stopped or resumed serving one of its tables.
 
         Each table is followed by separate calls, so that one may be read
@@ -170,7 +179,7 @@
         logs.event(
             LOG,
             name,
-            source=_source(message),
+            source=_table_name(message),
             waited_ms=round(message.waited * SECOND_MS),
             age_ms=round((now - read_at) * SECOND_MS),
             **facts,
@@ -274,7 +283,7 @@
         origin : str
         read_at : float
             When the store was read.
-        known : Read or view.Snapshot
+        known : ReadResult or view.Snapshot
             Provides the store versions.
         """
         before = self.view.snapshot
@@ -288,7 +297,7 @@
             by_service=by_service,
             endpoints_read_at=read_at,
             position=known.position,
-            changed=known.changed or known.position,
+            newest_version=known.newest_version or known.position,
             endpoints_known=True,
             known_since=before.known_since if before.endpoints_known else now,
         )
@@ -298,9 +307,9 @@
             self.view.limits.keep_only(usable)
             for endpoint in usable.values():
                 self.view.limits.started(endpoint.id, endpoint.started)
-                belief = self.view.book.of(endpoint.id)
-                if belief.started != endpoint.started:
-                    belief.started = endpoint.started
+                estimate = self.view.book.of(endpoint.id)
+                if estimate.started != endpoint.started:
+                    estimate.started = endpoint.started
                     self.view.book.reached(endpoint.id, now)
         logs.event(
             LOG,
@@ -321,6 +330,6 @@
         self.view.snapshot = view_module.Snapshot(**fields)
 
 
-def _source(message):
+def _table_name(message):
     """Return the name of a message's table for log lines."""
     return 'table' if message.is_table else 'endpoints'
--- a/packages/gateway/ibisring_gateway/following.py
+++ b/packages/gateway/ibisring_gateway/following.py
@@ -15,10 +15,10 @@
 
 LOG = logging.getLogger(__name__)
 # Seconds to pause after an unexpected exception.
-AFTER_ERROR = 1.0
+ERROR_PAUSE_SECONDS = 1.0
 # Seconds between checks whether a router that relies on the readers of its
 # failure domain must read the store itself.
-LOOK_AGAIN = 0.5
+RECHECK_SECONDS = 0.5
 
 
 class Follower:
@@ -31,8 +31,8 @@
     is_table : bool
     followers : Followers
         Decides when to call and how long to wait.
-    tell : callable
-        Takes `directory.Read` and `directory.Failed` messages.
+    tell_directory : callable
+        Takes `directory.ReadResult` and `directory.ReadFailed` messages.
 
     Attributes
     ----------
@@ -42,16 +42,16 @@
         Store version after which nothing changed up to `position`.
     """
 
-    def __init__(self, name, source, is_table, followers, tell):
+    def __init__(self, name, source, is_table, followers, tell_directory):
         self.name = name
         self.source = source
         self.is_table = is_table
         self.followers = followers
-        self.tell = tell
+        self.tell_directory = tell_directory
         self.clock = followers.clock
         self.position = None
         self.changed_by = 0
-        self.begun_at = 0.0
+        self.call_started_at = 0.0
         self.is_stopped = False
         self.wake = threading.Event()
 
@@ -66,7 +66,7 @@
                 self._follow()
             except Exception:
                 LOG.exception('following_failed')
-                self.pause(AFTER_ERROR)
+                self.pause(ERROR_PAUSE_SECONDS)
 
     def pause(self, seconds):
         """Wait for some seconds, or until `wake` is set."""
@@ -75,7 +75,7 @@
 
     def _follow(self):
         try:
-            if self.step():
+            if self.read_once():
                 self.pause(self.followers.change_pause())
         except ports.CallEnded:
             LOG.debug('call_ended %s', self.name)
@@ -84,13 +84,15 @@
             self.position = None
             self.followers.answered(self.name, True)
         except exceptions.IbisringError as error:
-            waited = self.clock() - self.begun_at
-            self.tell(
-                directory_module.Failed(error.detail, self.is_table, waited)
+            waited = self.clock() - self.call_started_at
+            self.tell_directory(
+                directory_module.ReadFailed(
+                    error.detail, self.is_table, waited
+                )
             )
             self.followers.failed(self.name)
 
-    def step(self):
+    def read_once(self):
         """Make one call and pass on its result.
 
         Returns
@@ -98,8 +100,8 @@
         bool
             Whether the table changed.
         """
-        self.begun_at = self.clock()
-        wait = self.followers.wait(self.name)
+        self.call_started_at = self.clock()
+        wait = self.followers.start_call(self.name)
         position, before = self.position, self.changed_by
         whole = position is None
         if whole:
@@ -107,20 +109,20 @@
         else:
             page = self.source.changes(position, wait)
         changed = bool(page.items)
-        self.followers.read(self, page.position, whole or changed)
+        self.followers.record_read(self, page.position, whole or changed)
         self.followers.answered(self.name, changed)
         if changed and not whole:
             # Before it is applied here, as the change is encoded as a
             # difference from the table in force.
-            self.followers.share(page, before, self.is_table)
-        self.tell(
-            directory_module.Read(
+            self.followers.publish_changes(page, before, self.is_table)
+        self.tell_directory(
+            directory_module.ReadResult(
                 page.items,
                 whole,
                 is_table=self.is_table,
                 position=page.position,
-                waited=self.clock() - self.begun_at,
-                changed=page.changed,
+                waited=self.clock() - self.call_started_at,
+                newest_version=page.changed,
             )
         )
         return changed
@@ -148,7 +150,7 @@
     publish : callable
         Sends a page to the routers that rely on this one; takes the page,
         the version that it follows, and whether it is of routing tables.
-    wanted : set of str
+    requested : set of str
         Tables to read once although others read them.
     """
 
@@ -156,15 +158,17 @@
         self.fleet = fleet
         self.role = role
         self.clock = clock
-        self.publish = _to_nobody
-        self.wanted = set()
+        self.publish = _discard
+        self.requested = set()
         self.members = {}
         self.polling = polling_module.make_polling((), random.random)
         self.lock = threading.Lock()
 
-    def add(self, name, source, is_table, tell):
+    def add(self, name, source, is_table, tell_directory):
         """Add a follower of a source."""
-        self.members[name] = Follower(name, source, is_table, self, tell)
+        self.members[name] = Follower(
+            name, source, is_table, self, tell_directory
+        )
         self.polling = polling_module.make_polling(
             list(self.members), self.polling.draw
         )
@@ -191,26 +195,26 @@
         role = self.role()
         now = self.clock()
         with self.lock:
-            if self._is_left_to_others(name, role, now):
-                return LOOK_AGAIN
+            if self._relies_on_readers(name, role, now):
+                return RECHECK_SECONDS
             return self.polling.delay(name, now)
 
-    def _is_left_to_others(self, name, role, now):
-        if role is not sharing.Role.TOLD or name in self.wanted:
+    def _relies_on_readers(self, name, role, now):
+        if role is not sharing.Role.TOLD or name in self.requested:
             return False
         return self.polling.has_read(name) and self.polling.is_steady(now)
 
-    def wait(self, name):
+    def start_call(self, name):
         """Register the start of a call and return its long-poll seconds."""
         fleet = self.fleet()
         with self.lock:
             wait = self.polling.wait(name, self.clock(), fleet)
-            if name in self.wanted:
-                self.wanted.discard(name)
+            if name in self.requested:
+                self.requested.discard(name)
                 return 0.0
             return wait
 
-    def read(self, follower, position, changed):
+    def record_read(self, follower, position, changed):
         """Record up to which version a table was read."""
         with self.lock:
             follower.advance(position, changed)
@@ -223,18 +227,18 @@
         """
         if role is sharing.Role.ASKS:
             with self.lock:
-                ended = self.polling.told_of_loss(self.clock())
-            self._end(ended)
+                to_cancel = self.polling.told_of_loss(self.clock())
+            self._cancel(to_cancel)
         if role is not sharing.Role.TOLD:
             self._wake(self.members)
 
     def read_now(self, names):
         """Read tables once although others read them."""
         with self.lock:
-            self.wanted.update(names)
+            self.requested.update(names)
         self._wake(names)
 
-    def share(self, page, before, is_table):
+    def publish_changes(self, page, before, is_table):
         """Send a change to the routers that rely on this one.
 
         Nothing is sent shortly after store errors: entries that are missing
@@ -245,7 +249,7 @@
         if is_steady and self.role() is sharing.Role.READS:
             self.publish(page, before, is_table)
 
-    def take(self, name, changes):
+    def apply_changes(self, name, changes):
         """Apply a reader's changes; False if earlier ones are missing.
 
         Parameters
@@ -284,7 +288,7 @@
         """Return the store version up to which a table is known."""
         return self.members[name].position or 0
 
-    def standing(self, is_lost):
+    def store_access(self, is_lost):
         """Return the `sharing.Standing` of this router.
 
         Parameters
@@ -306,23 +310,23 @@
     def answered(self, name, changed):
         """Record an answer, and let followers that are failing retry now."""
         with self.lock:
-            woken = self.polling.answered(name, self.clock(), changed)
-        self._wake(woken)
+            to_wake = self.polling.answered(name, self.clock(), changed)
+        self._wake(to_wake)
 
     def failed(self, name):
         """Record a failed call, and cancel other calls that may hang."""
         fleet = self.fleet()
         with self.lock:
-            ended = self.polling.failed(name, self.clock(), fleet)
-        self._end(ended)
+            to_cancel = self.polling.failed(name, self.clock(), fleet)
+        self._cancel(to_cancel)
 
     def suspect_outage(self):
         """Record a sign of a store outage, and restart waiting calls."""
         with self.lock:
-            ended = self.polling.trouble(self.clock())
-        self._end(ended)
+            to_cancel = self.polling.trouble(self.clock())
+        self._cancel(to_cancel)
 
-    def told_of_loss(self, lost_at):
+    def outage_reported(self, lost_at):
         """Record when another router lost the store; restart waiting calls.
 
         A router that relies on readers has no call that could hang.
@@ -330,25 +334,25 @@
         if self.role() is sharing.Role.TOLD:
             return
         with self.lock:
-            ended = self.polling.told_of_loss(lost_at)
-        self._end(ended)
+            to_cancel = self.polling.told_of_loss(lost_at)
+        self._cancel(to_cancel)
 
-    def returned(self):
+    def recovery_reported(self):
         """Record that the store answers another router again."""
         with self.lock:
-            woken = self.polling.returned(self.clock())
-        self._wake(woken)
+            to_wake = self.polling.returned(self.clock())
+        self._wake(to_wake)
 
     def _wake(self, names):
         for name in names:
             self.members[name].wake.set()
 
-    def _end(self, names):
+    def _cancel(self, names):
         for name in names:
             self.members[name].source.end_call()
 
 
-def _to_nobody(page, before, is_table):
+def _discard(page, before, is_table):
     """Discard a page; the default of `Followers.publish`."""
 
 
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -1,6 +1,6 @@
 """UDP gossip in which routers exchange their load and endpoint health."""
 
-__all__ = ['Told', 'Gossip', 'make_gossip']
+__all__ = ['Message', 'Gossip', 'make_gossip']
 
 import logging
 import math
@@ -24,13 +24,13 @@
 from ibisring_router import logs
 
 LOG = logging.getLogger(__name__)
-MOST_BYTES = 60000
+MAX_DATAGRAM_BYTES = 60000
 SECOND_MS = 1000.0
 TABLE = peers_module.TABLE
 ENDPOINTS = peers_module.ENDPOINTS
 
 
-class Told(msgspec.Struct, array_like=True):
+class Message(msgspec.Struct, array_like=True):
     """Gossip message of one router.
 
     Messages are encoded as arrays, so the order of the fields is the format.
@@ -44,30 +44,30 @@
         Id of the sender.
     tokens : dict of str to int
         Tokens times layers that the sender has in flight, by engine.
-    dead : list of str
+    unreachable : list of str
         Engines that the sender has recently found unreachable.
-    changed : int
+    endpoints_version : int
         Store version of the last change of endpoints known to the sender.
-    table : int
+    table_version : int
         Version of the routing table in force at the sender.
-    slow : dict of str to float
+    slowdowns : dict of str to float
         Slowdown factors of the engines that the sender found slow.
-    touch : ordering.StoreTouch
+    store_status : ordering.StoreTouch
         The sender's connection to the store.
     term : int
         Highest lease term known to the sender.
-    held : dict of str to (int, int, int)
+    holdings : dict of str to (int, int, int)
         Start time, first layer and end of the layers that engines reported
         to the sender during a store outage.
-    full : list of str
+    refusing : list of str
         Engines that refuse the sender's requests.
     domain : str
         The sender's failure domain.
-    lost_ms : int or None
+    store_lost_ms : int or None
         Milliseconds since the sender last lost the store, None if never.
-    standing : sharing.Standing
+    store_access : sharing.Standing
         Whether the store answers the sender's calls.
-    counts : dict of str to (int, int)
+    router_counts : dict of str to (int, int)
         Running routers by failure domain, and milliseconds since a router of
         that domain reported the number.
     position, table_position : int
@@ -78,12 +78,12 @@
         Packed `changes.Changes` that the sender has just read.
     link : float
         Speed of the link of the sender's VM in Mbit/s, 0 if unknown.
-    reads : bool
+    reads_store : bool
         Whether the sender calls the store.
     loads : dict of str to (int, int)
         Outstanding requests that endpoints reported to the sender, and
         milliseconds since.
-    back : list of str
+    recovered : list of str
         Engines found unreachable that have answered the sender again.
     suspects : list of suspects.Word
         Requests during which endpoints have crashed.
@@ -93,49 +93,57 @@
 
     router: str
     tokens: dict[str, int]
-    dead: list[str]
-    changed: int = 0
-    table: int = 0
-    slow: dict[str, float] = {}
-    touch: ordering.StoreTouch = ordering.StoreTouch.FOLLOWED
+    unreachable: list[str]
+    endpoints_version: int = 0
+    table_version: int = 0
+    slowdowns: dict[str, float] = {}
+    store_status: ordering.StoreTouch = ordering.StoreTouch.FOLLOWED
     term: int = 0
-    held: dict[str, tuple[int, int, int]] = {}
-    full: list[str] = []
+    holdings: dict[str, tuple[int, int, int]] = {}
+    refusing: list[str] = []
     domain: str = ''
-    lost_ms: int | None = None
-    standing: sharing.Standing = sharing.Standing.UNSURE
-    counts: dict[str, tuple[int, int]] = {}
+    store_lost_ms: int | None = None
+    store_access: sharing.Standing = sharing.Standing.UNSURE
+    router_counts: dict[str, tuple[int, int]] = {}
     position: int = 0
     table_position: int = 0
     age_ms: int = 0
     changes: bytes = b''
     link: float = 0.0
-    reads: bool = False
+    reads_store: bool = False
     loads: dict[str, tuple[int, int]] = {}
-    back: list[str] = []
+    recovered: list[str] = []
     suspects: list[suspects_module.Word] = []
     limits: dict[str, ratelimits.Word] = {}
 
 
 # Fields whose change others act upon at once, unlike load and router names.
-_NEWS = (
-    'dead',
-    'back',
-    'slow',
-    'full',
-    'held',
-    'changed',
-    'table',
-    'touch',
+_PROMPT_FIELDS = (
+    'unreachable',
+    'recovered',
+    'slowdowns',
+    'refusing',
+    'holdings',
+    'endpoints_version',
+    'table_version',
+    'store_status',
     'term',
 )
 # Fields whose change is sent to the whole failure domain at once.  Changes of
 # the tables are not among them: `send_changes` sends them as they are read.
-_URGENT = ('dead', 'back', 'slow', 'full', 'held', 'touch', 'standing')
+_URGENT_FIELDS = (
+    'unreachable',
+    'recovered',
+    'slowdowns',
+    'refusing',
+    'holdings',
+    'store_status',
+    'store_access',
+)
 
 
 class Gossip:
-    """Sends and receives `Told` datagrams.
+    """Sends and receives `Message` datagrams.
 
     Each datagram holds the whole state, so the next one makes up for a lost
     one.  No decision depends on delivery.
@@ -145,7 +153,7 @@
     settings : settings.Settings
     view : view.View
     peers : peers.Peers
-    tell : callable
+    tell_directory : callable
         Takes messages for the `directory.Directory`.
     sock : socket.socket
         Bound UDP socket.
@@ -156,18 +164,18 @@
         Payload bytes of the datagrams, without headers.
     """
 
-    def __init__(self, settings, view, peers, tell, sock):
+    def __init__(self, settings, view, peers, tell_directory, sock):
         self.settings = settings
         self.view = view
         self.peers = peers
-        self.tell = tell
+        self.tell_directory = tell_directory
         self.rng = random.Random()
         self.bytes_sent = 0
         self.bytes_received = 0
-        self.pace = telling.make_pace()
-        self.urgent = telling.make_pace()
-        self.rounds = telling.make_rounds(self.rng)
-        peers.followers.publish = self.tell_changes
+        self.schedule = telling.make_pace()
+        self.urgent_schedule = telling.make_pace()
+        self.rotation = telling.make_rounds(self.rng)
+        peers.followers.publish = self.send_changes
         self.stopped = threading.Event()
         self.wake = threading.Event()
         self.socket = sock
@@ -202,89 +210,98 @@
             except OSError as error:
                 LOG.debug('sending gossip failed: %s', error)
 
-    def _told(self, now):
+    def _message(self, now):
         """Build the message that describes this router now."""
         with self.view.lock:
             book = self.view.book
             tokens = {n: int(each) for n, each in book.own().items()}
-            dead = book.lately_dead(now)
-            slow = book.slow(now)
-            full = book.refusing(now)
+            unreachable = book.lately_dead(now)
+            slowdowns = book.slow(now)
+            refusing = book.refusing(now)
             loads = book.loads_to_tell(now)
-            back = book.lately_back(now)
-            share = self._old_share()
+            recovered = book.lately_back(now)
+            share = self._repeat_share()
             suspects = self.view.suspects.to_tell(now, self.rng, share)
             limits = self.view.limits.to_tell(now, self.rng, share)
         snapshot = self.view.snapshot
         read_at = min(snapshot.table_read_at, snapshot.endpoints_read_at)
-        own = self.peers.own_standing()
-        return Told(
+        own = self.peers.own_store_access()
+        return Message(
             self.settings.router_id,
             tokens,
-            dead,
-            changed=snapshot.changed,
-            table=snapshot.version,
-            slow=slow,
-            touch=self.view.store_status,
+            unreachable,
+            endpoints_version=snapshot.newest_version,
+            table_version=snapshot.version,
+            slowdowns=slowdowns,
+            store_status=self.view.store_status,
             term=self.view.term,
-            held=self.view.holdings_to_send(now),
-            full=full,
+            holdings=self.view.holdings_to_send(now),
+            refusing=refusing,
             domain=self.settings.failure_domain,
-            lost_ms=self._lost_ms(now),
-            standing=own.standing,
-            counts=self.peers.hearing.counts_to_tell(now),
+            store_lost_ms=self._store_lost_ms(now),
+            store_access=own.standing,
+            router_counts=self.peers.peer_reports.counts_to_tell(now),
             # The version in force, not the one read: what was just read may
             # not be applied yet, and receivers would take it for known.
             position=snapshot.position,
             table_position=snapshot.table_position,
             age_ms=int((now - read_at) * SECOND_MS),
             link=own.link,
-            reads=own.reads,
+            reads_store=own.reads,
             loads=loads,
-            back=back,
+            recovered=recovered,
             suspects=suspects,
             limits=limits,
         )
 
-    def _old_share(self):
-        """Give the share of messages that repeat old suspects and limits.
+    def _repeat_share(self):
+        """Return the share of messages that repeat old suspects and limits.
 
         Each router of the domain still receives every old entry from a few
         of the others (`telling.OLD_TELLERS`) per round.
         """
         others = self.peers.others()
-        near = sum(1 for each in others if self.peers.is_near(each.name))
-        return min(1.0, telling.OLD_TELLERS / max(1, near))
+        local_count = sum(
+            1 for each in others if self.peers.is_local(each.name)
+        )
+        return min(1.0, telling.OLD_TELLERS / max(1, local_count))
 
     def _send(self):
         now = self.view.clock()
-        told = self._told(now)
+        message = self._message(now)
         lost_at = self.peers.followers.lost_at
-        known, limits = self.view.suspects, self.view.limits
-        news = [getattr(told, name) for name in _NEWS]
-        news += [lost_at, known.changes, limits.changes, limits.wanted(now)]
+        suspects, limits = self.view.suspects, self.view.limits
+        prompt = [getattr(message, name) for name in _PROMPT_FIELDS]
+        prompt += [
+            lost_at,
+            suspects.changes,
+            limits.changes,
+            limits.wanted(now),
+        ]
         rows = {row.name: row for row in self.peers.others()}
         reach = min(1.0, telling.ALL_AT_ONCE / max(1, len(rows)))
         fullest = self.view.book.fullest
-        urgent = [getattr(told, name) for name in _URGENT]
-        urgent += [lost_at, known.found, limits.changes]
-        is_urgent = self.urgent.is_fresh(now, urgent)
-        if not self.pace.is_due(now, news, fullest, reach):
+        urgent = [getattr(message, name) for name in _URGENT_FIELDS]
+        urgent += [lost_at, suspects.found, limits.changes]
+        is_urgent = self.urgent_schedule.is_fresh(now, urgent)
+        if not self.schedule.is_due(now, prompt, fullest, reach):
             return
-        near = [name for name in rows if self.peers.is_near(name)]
-        far = [name for name in rows if not self.peers.is_near(name)]
-        busy = self._in_domains_of(told.tokens, far, rows)
-        names = self.rounds.choose(near, far, is_urgent, busy)
-        self._send_to([rows[name] for name in names], told)
+        local_names = [name for name in rows if self.peers.is_local(name)]
+        remote_names = [name for name in rows if not self.peers.is_local(name)]
+        in_use = self._in_domains_of(message.tokens, remote_names, rows)
+        names = self.rotation.choose(
+            local_names, remote_names, is_urgent, in_use
+        )
+        self._send_to([rows[name] for name in names], message)
 
-    def _in_domains_of(self, engines, far, rows):
-        """Give the routers in the domains of the engines given.
+    def _in_domains_of(self, engines, remote_names, rows):
+        """Return the routers in the domains of the engines given.
 
         Parameters
         ----------
         engines : iterable of str
             Engines that this router's requests use.
-        far : list of str
+        remote_names : list of str
             Routers in other failure domains.
         rows : dict of str to ports.RouterRow
         """
@@ -294,19 +311,19 @@
             for name in engines
             if name in endpoints
         }
-        return [name for name in far if rows[name].domain in domains]
+        return [name for name in remote_names if rows[name].domain in domains]
 
-    def _send_to(self, rows, told):
-        data = msgspec.msgpack.encode(told)
-        if len(data) > MOST_BYTES:
-            LOG.warning('gossip_too_large %s', len(data))
+    def _send_to(self, rows, message):
+        data = msgspec.msgpack.encode(message)
+        if len(data) > MAX_DATAGRAM_BYTES:
+            LOG.warning('gossip message too large: %s bytes', len(data))
             return
         for row in rows:
             host, _, port = row.address.rpartition(':')
             self.socket.sendto(data, (host, int(port)))
             self.bytes_sent += len(data)
 
-    def tell_changes(self, page, before, is_table):
+    def send_changes(self, page, before, is_table):
         """Send what has just been read to the routers of this domain.
 
         Parameters
@@ -316,8 +333,10 @@
             Store version after which nothing changed until the page.
         is_table : bool
         """
-        near = [r for r in self.peers.others() if self.peers.is_near(r.name)]
-        if len(near) < sharing.READERS:
+        local_rows = [
+            r for r in self.peers.others() if self.peers.is_local(r.name)
+        ]
+        if len(local_rows) < sharing.READERS:
             return
         index = self.view.snapshot.index
         if is_table:
@@ -327,22 +346,24 @@
             changes = changes_module.endpoint_changes(page, before)
         if changes is None:
             return
-        packed = changes_module.pack(changes, len(near), self.settings.link)
+        packed = changes_module.pack(
+            changes, len(local_rows), self.settings.link
+        )
         if not packed:
-            LOG.info('changes_too_long %s', len(page.items))
+            LOG.info('changes too large for gossip: %s items', len(page.items))
             return
-        told = self._told(self.view.clock())
-        told.tokens = {}
-        told.loads = {}
-        told.suspects = []
-        told.limits = {}
-        told.changes = packed
+        message = self._message(self.view.clock())
+        message.tokens = {}
+        message.loads = {}
+        message.suspects = []
+        message.limits = {}
+        message.changes = packed
         try:
-            self._send_to(near, told)
+            self._send_to(local_rows, message)
         except OSError as error:
             LOG.debug('sending changes failed: %s', error)
 
-    def _lost_ms(self, now):
+    def _store_lost_ms(self, now):
         lost_at = self.peers.followers.lost_at
         return (
             None if math.isinf(lost_at) else int((now - lost_at) * SECOND_MS)
@@ -351,158 +372,172 @@
     def _receive_loop(self):
         while not self.stopped.is_set():
             try:
-                data, source = self.socket.recvfrom(MOST_BYTES + 1)
+                data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 self.bytes_received += len(data)
-                told = msgspec.msgpack.decode(data, type=Told)
+                message = msgspec.msgpack.decode(data, type=Message)
             except OSError as error:
                 LOG.debug('receiving gossip failed: %s', error)
                 self.stopped.wait(telling.TICK)
                 continue
             except msgspec.MsgspecError as error:
-                LOG.warning('gossip_unreadable %s', error)
+                LOG.warning('unreadable gossip message: %s', error)
                 continue
-            self.take(told, source)
+            self.receive(message, source)
 
-    def take(self, told, source):
+    def receive(self, message, source):
         """Apply a message of another router.
 
         Parameters
         ----------
-        told : Told
+        message : Message
         source : (str, int)
             Address of the sender.
         """
         now = self.view.clock()
         with self.view.lock:
             self.view.book.take_told(
-                told.router,
-                told.tokens,
-                told.dead,
+                message.router,
+                message.tokens,
+                message.unreachable,
                 now,
-                told.slow,
-                told.full,
+                message.slowdowns,
+                message.refusing,
+            )
+            self.view.book.take_loads(message.loads, now)
+            self.view.book.take_back(message.recovered, now)
+        self._apply_suspects(message, now)
+        self._apply_limits(message, now)
+        self._record_peer(message, f'{source[0]}:{source[1]}', now)
+        if message.changes:
+            self._apply_changes(message)
+        elif message.store_access is sharing.Standing.SERVED:
+            self._apply_confirmation(message)
+        self.view.term = max(self.view.term, message.term)
+        for name, (started, first, end) in message.holdings.items():
+            holding = routing.Holding(first, end) if end > first else None
+            self.tell_directory(
+                directory.HoldingReport(name, started, holding)
             )
-            self.view.book.take_loads(told.loads, now)
-            self.view.book.take_back(told.back, now)
-        self._take_suspects(told, now)
-        self._take_limits(told, now)
-        self._hear(told, f'{source[0]}:{source[1]}', now)
-        if told.changes:
-            self._take_changes(told)
-        elif told.standing is sharing.Standing.SERVED:
-            self._confirm(told)
-        self.view.term = max(self.view.term, told.term)
-        for name, (started, first, end) in told.held.items():
-            held = routing.Holding(first, end) if end > first else None
-            self.tell(directory.HoldingReport(name, started, held))
         snapshot = self.view.snapshot
-        behind = told.changed > max(snapshot.changed, snapshot.position)
-        if behind or told.table > snapshot.version:
-            versions = {TABLE: told.table, ENDPOINTS: told.changed}
-            self.peers.behind(told.router, now, versions)
-
-    def _take_suspects(self, told, now):
-        known = self.view.suspects
+        behind = message.endpoints_version > max(
+            snapshot.newest_version, snapshot.position
+        )
+        if behind or message.table_version > snapshot.version:
+            versions = {
+                TABLE: message.table_version,
+                ENDPOINTS: message.endpoints_version,
+            }
+            self.peers.note_newer(message.router, now, versions)
+
+    def _apply_suspects(self, message, now):
+        suspects = self.view.suspects
         with self.view.lock:
-            fresh = known.take(told.suspects, now)
-            ends = [known.verdict(digest, now).ends for digest in fresh]
-        for digest, count in zip(fresh, ends):
+            added = suspects.take(message.suspects, now)
+            crashes = [suspects.verdict(digest, now).ends for digest in added]
+        for digest, count in zip(added, crashes):
             logs.event(
                 LOG,
                 'suspect',
                 digest=digest.hex(),
                 ends=count,
-                origin=f'router {told.router}',
+                origin=f'router {message.router}',
             )
 
-    def _take_limits(self, told, now):
+    def _apply_limits(self, message, now):
         endpoints = self.view.snapshot.endpoints
         starts = {
             name: endpoints[name].started
-            for name in told.limits
+            for name in message.limits
             if name in endpoints
         }
         with self.view.lock:
-            news = self.view.limits.take_told(
-                told.router, told.domain, told.limits, now, starts
+            updated = self.view.limits.take_told(
+                message.router, message.domain, message.limits, now, starts
             )
-        for name in news:
+        for name in updated:
             logs.event(
                 LOG,
                 'endpoint_limit',
                 endpoint=name,
-                rate=told.limits[name].rate,
-                origin=f'router {told.router}',
+                rate=message.limits[name].rate,
+                origin=f'router {message.router}',
             )
 
-    def _hear(self, told, address, now):
+    def _record_peer(self, message, address, now):
         """Record that a router runs, and the router counts that it sent."""
-        heard = hearing.Heard(
-            name=told.router,
-            domain=told.domain,
+        report = hearing.Heard(
+            name=message.router,
+            domain=message.domain,
             at=now,
-            touch=told.touch,
+            touch=message.store_status,
             neighbour=sharing.Neighbour(
-                told.router, told.standing, told.link, told.reads
+                message.router,
+                message.store_access,
+                message.link,
+                message.reads_store,
             ),
         )
-        self.peers.heard(heard, address, told.lost_ms)
-        self.peers.hearing.take_counts(told.counts, told.domain, now)
+        self.peers.receive_report(report, address, message.store_lost_ms)
+        self.peers.peer_reports.take_counts(
+            message.router_counts, message.domain, now
+        )
 
-    def _take_changes(self, told):
+    def _apply_changes(self, message):
         """Apply changes that the sender has just read from the store.
 
         They are dropped if this router has missed earlier ones, which it
         detects from the versions in others' messages.
         """
         try:
-            changes = changes_module.unpack(told.changes)
+            changes = changes_module.unpack(message.changes)
         except exceptions.MalformedMessage as error:
-            LOG.warning('changes_unreadable %s', error.detail)
+            LOG.warning('unreadable changes in gossip: %s', error.detail)
             return
         name = TABLE if changes.is_table else ENDPOINTS
         index = self.view.snapshot.index
         items = changes.items(index.table if index else None)
-        if items is None or not self.peers.followers.take(name, changes):
+        if items is None or not self.peers.followers.apply_changes(
+            name, changes
+        ):
             return
-        self.tell(
-            directory.Read(
+        self.tell_directory(
+            directory.ReadResult(
                 items,
                 False,
-                origin=f'router {told.router}',
+                origin=f'router {message.router}',
                 is_table=changes.is_table,
                 position=changes.position,
-                changed=changes.changed,
+                newest_version=changes.newest_version,
             )
         )
 
-    def _confirm(self, told):
+    def _apply_confirmation(self, message):
         """Record the versions of a sender that the store answers.
 
         Only routers of the same failure domain count.
         """
-        if not self.peers.is_near(told.router):
+        if not self.peers.is_local(message.router):
             return
         snapshot = self.view.snapshot
         followers = self.peers.followers
-        if told.table == snapshot.version:
-            followers.confirm(TABLE, told.table_position)
-        if told.changed <= followers.position(ENDPOINTS):
-            followers.confirm(ENDPOINTS, told.position)
-        age = told.age_ms / SECOND_MS
-        self.tell(
+        if message.table_version == snapshot.version:
+            followers.confirm(TABLE, message.table_position)
+        if message.endpoints_version <= followers.position(ENDPOINTS):
+            followers.confirm(ENDPOINTS, message.position)
+        age = message.age_ms / SECOND_MS
+        self.tell_directory(
             directory.Confirmed(
-                told.table,
-                told.table_position,
-                told.changed,
-                told.position,
+                message.table_version,
+                message.table_position,
+                message.endpoints_version,
+                message.position,
                 age,
             )
         )
 
 
-def make_gossip(settings, view, peers, tell):
+def make_gossip(settings, view, peers, tell_directory):
     """Make a `Gossip`; start it with ``start()``."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind((settings.host, settings.peer_port))
-    return Gossip(settings, view, peers, tell, sock)
+    return Gossip(settings, view, peers, tell_directory, sock)
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -28,14 +28,14 @@
 STATE_PATH = '/state'
 TABLE = 'table'
 ENDPOINTS = 'endpoints'
-CONNECT_TIMEOUT = 0.15
-READ_TIMEOUT = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.15
+READ_TIMEOUT_SECONDS = 0.3
 # Seconds between reads of the list of routers: after the first read, and
 # while no peer has been heard from.  Routers that start later announce
 # themselves by gossip.
-LIST_AGAIN = 3.0
-ALONE_AFTER = 12.0
-TICK = 0.1
+RELIST_SECONDS = 3.0
+ALONE_RELIST_SECONDS = 12.0
+TICK_SECONDS = 0.1
 
 
 class State(msgspec.Struct):
@@ -66,26 +66,28 @@
     ----------
     settings : settings.Settings
     view : view.View
-    rows : ports.LeaseTable
-    tell : callable
-        Takes `directory.Read` messages.
+    lease_table : ports.LeaseTable
+    tell_directory : callable
+        Takes `directory.ReadResult` messages.
     followers : following.Followers
         Notified of what other routers report of the store.
     """
 
-    def __init__(self, settings, view, rows, tell, followers):
+    def __init__(self, settings, view, lease_table, tell_directory, followers):
         self.settings = settings
         self.view = view
-        self.rows = rows
-        self.tell = tell
+        self.lease_table = lease_table
+        self.tell_directory = tell_directory
         self.followers = followers
-        self.known = {}
+        self.rows = {}
         self.rng = random.Random()
-        self.caller = calls.make_caller(CONNECT_TIMEOUT, READ_TIMEOUT)
+        self.caller = calls.make_caller(
+            CONNECT_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
+        )
         self.stopped = threading.Event()
-        self.list_at = 0.0
-        self.written = False
-        self.hearing = hearing.make_hearing(
+        self.next_list_at = 0.0
+        self.is_row_written = False
+        self.peer_reports = hearing.make_hearing(
             settings.router_id, settings.failure_domain, view.clock()
         )
         self.current_role = sharing.Role.TOLD
@@ -118,46 +120,46 @@
             table_position=snapshot.table_position,
         )
 
-    def heard(self, heard, address, lost_ms=None):
+    def receive_report(self, report, address, lost_ms=None):
         """Record a datagram of another router.
 
         Parameters
         ----------
-        heard : hearing.Heard
+        report : hearing.Heard
         address : str
         lost_ms : int or None
             Milliseconds since it last lost the store, None if never.
         """
-        before = self.hearing.take(heard)
+        before = self.peer_reports.take(report)
         if lost_ms is not None:
-            self.followers.told_of_loss(heard.at - lost_ms / SECOND_MS)
+            self.followers.outage_reported(report.at - lost_ms / SECOND_MS)
         was_lost = before is not None and before.touch is LOST
-        if was_lost and heard.touch is FOLLOWED:
-            self.followers.returned()
-        row = self.known.get(heard.name)
+        if was_lost and report.touch is FOLLOWED:
+            self.followers.recovery_reported()
+        row = self.rows.get(report.name)
         if row is None or row.address != address:
-            self.known[heard.name] = ports.RouterRow(
-                heard.name, address, heard.domain, 0.0
+            self.rows[report.name] = ports.RouterRow(
+                report.name, address, report.domain, 0.0
             )
 
-    def behind(self, name, now, versions=None):
+    def note_newer(self, name, now, versions=None):
         """Record that another router has newer state."""
-        self.catchup.behind(name, now, self.is_near(name), versions)
+        self.catchup.behind(name, now, self.is_local(name), versions)
 
-    def is_near(self, name):
+    def is_local(self, name):
         """Whether a router is in this one's failure domain.
 
         Traffic to such a router uses no link between domains; those links
         are expensive.
         """
-        row = self.known.get(name)
+        row = self.rows.get(name)
         return row is not None and row.domain == self.settings.failure_domain
 
     def running_count(self, now):
         """Return the estimated number of running routers with this one."""
-        return sum(self.hearing.counts(now).values())
+        return sum(self.peer_reports.counts(now).values())
 
-    def own_standing(self):
+    def own_store_access(self):
         """Return this router's store status as sent to other routers.
 
         Returns
@@ -167,7 +169,7 @@
         is_lost = self.view.store_lost_at is not None
         return sharing.Neighbour(
             self.settings.router_id,
-            self.followers.standing(is_lost),
+            self.followers.store_access(is_lost),
             self.settings.link,
             self.current_role is not sharing.Role.TOLD,
         )
@@ -181,15 +183,15 @@
         """
         return self.current_role
 
-    def _judge_role(self, now):
-        neighbours = self.hearing.neighbours(now)
-        found = sharing.role(self.own_standing(), neighbours)
-        if now - self.hearing.begun_at < sharing.LISTEN_FIRST:
-            found = sharing.Role.TOLD
-        if found is not self.current_role:
-            self.current_role = found
-            logs.event(LOG, 'store_role', role=found.name.lower())
-            self.followers.role_changed(found)
+    def _update_role(self, now):
+        neighbours = self.peer_reports.neighbours(now)
+        role = sharing.role(self.own_store_access(), neighbours)
+        if now - self.peer_reports.begun_at < sharing.LISTEN_FIRST:
+            role = sharing.Role.TOLD
+        if role is not self.current_role:
+            self.current_role = role
+            logs.event(LOG, 'store_role', role=role.name.lower())
+            self.followers.role_changed(role)
 
     def polling_slot(self):
         """Return this router's rank among those that call the store.
@@ -199,13 +201,13 @@
         polling.Fleet
         """
         now = self.view.clock()
-        counts = self.hearing.counts(now)
+        counts = self.peer_reports.counts(now)
         if self.current_role is sharing.Role.ASKS:
             running = sum(counts.values())
-            rank = min(self.hearing.rank(now), running - 1)
+            rank = min(self.peer_reports.rank(now), running - 1)
             return polling.Fleet(running, rank, running)
         before = sharing.readers(
-            self.own_standing(), self.hearing.neighbours(now)
+            self.own_store_access(), self.peer_reports.neighbours(now)
         )
         return sharing.place(self.settings.failure_domain, len(before), counts)
 
@@ -216,7 +218,7 @@
         -------
         dict of str to ordering.StoreTouch
         """
-        return self.hearing.touches(now)
+        return self.peer_reports.touches(now)
 
     def max_routers(self, now):
         """Return an upper estimate of the number of running routers.
@@ -228,73 +230,75 @@
 
     def run(self):
         """Update role and state until stopped."""
-        while not self.stopped.wait(TICK * self.rng.uniform(0.8, 1.2)):
+        while not self.stopped.wait(TICK_SECONDS * self.rng.uniform(0.8, 1.2)):
             now = self.view.clock()
             try:
-                if now >= self.list_at:
-                    self._list_if_alone(now)
-                self._judge_role(now)
+                if now >= self.next_list_at:
+                    self._refresh_list(now)
+                self._update_role(now)
                 self._catch_up(now)
             except Exception:
                 LOG.exception('peers_failed')
 
     def _catch_up(self, now):
         """Fetch newer state of others if it has not arrived by gossip."""
-        known = self.catchup
+        progress = self.catchup
         snapshot = self.view.snapshot
-        position = max(snapshot.changed, snapshot.position)
-        known.caught_up({TABLE: snapshot.version, ENDPOINTS: position})
+        position = max(snapshot.newest_version, snapshot.position)
+        progress.caught_up({TABLE: snapshot.version, ENDPOINTS: position})
         is_told = self.current_role is sharing.Role.TOLD
         callers = self.polling_slot().callers
-        if known.is_due(now, self._age(now), callers, is_told):
-            asks_store = is_told and not known.asked_store
-            known.asked(now, asks_store)
+        if progress.is_due(now, self._age_seconds(now), callers, is_told):
+            queries_store = is_told and not progress.asked_store
+            progress.asked(now, queries_store)
             logs.event(
                 LOG,
                 'catching_up',
-                asks='store' if asks_store else 'router',
-                ahead=known.ahead,
-                wanted=known.wanted,
+                asks='store' if queries_store else 'router',
+                ahead=progress.ahead,
+                wanted=progress.wanted,
                 table=snapshot.version,
                 endpoints=position,
-                age_ms=round(self._age(now) * SECOND_MS),
+                age_ms=round(self._age_seconds(now) * SECOND_MS),
             )
-            if asks_store:
+            if queries_store:
                 # The store returns only the changes; a peer would return
                 # the whole list of endpoints, which is long.
                 self.followers.read_now((TABLE, ENDPOINTS))
             else:
-                self._ask_one()
-        known.forget(now, is_told)
+                self._fetch_state()
+        progress.forget(now, is_told)
 
-    def _age(self, now):
+    def _age_seconds(self, now):
         """Return the seconds since the older of both tables was read."""
         snapshot = self.view.snapshot
         return now - min(snapshot.table_read_at, snapshot.endpoints_read_at)
 
-    def _list_if_alone(self, now):
-        if self.running_count(now) > 1 and self.written:
-            self.list_at = now + ALONE_AFTER
+    def _refresh_list(self, now):
+        if self.running_count(now) > 1 and self.is_row_written:
+            self.next_list_at = now + ALONE_RELIST_SECONDS
             return
-        self._list(now)
+        self._read_list(now)
 
-    def _list(self, now):
+    def _read_list(self, now):
         """Write this router's row once, and read the rows of all."""
         try:
-            if not self.written:
-                self.rows.write_router(self._own_row())
-                self.written = True
-            rows = self.rows.read_routers()
+            if not self.is_row_written:
+                self.lease_table.write_router(self._own_row())
+                self.is_row_written = True
+            rows = self.lease_table.read_routers()
         except exceptions.IbisringError as error:
             LOG.debug('reading the list of routers failed: %s', error.detail)
-            self.list_at = now + 1.0
+            self.next_list_at = now + 1.0
             return
-        again = now + ALONE_AFTER if self.known else now + LIST_AGAIN
-        self.list_at = again
+        next_list_at = (
+            now + ALONE_RELIST_SECONDS if self.rows else now + RELIST_SECONDS
+        )
+        self.next_list_at = next_list_at
         names = {row.name for row in rows}
-        if names != set(self.known):
+        if names != set(self.rows):
             logs.event(LOG, 'routers', known=sorted(names))
-        self.known = {row.name: row for row in rows}
+        self.rows = {row.name: row for row in rows}
 
     def _own_row(self):
         settings = self.settings
@@ -308,10 +312,10 @@
     def others(self):
         """Return the rows of the other routers."""
         own = self.settings.router_id
-        known = list(self.known.items())
-        return [row for name, row in known if name != own]
+        rows = list(self.rows.items())
+        return [row for name, row in rows if name != own]
 
-    def _ask_one(self):
+    def _fetch_state(self):
         others = {row.name: row for row in self.others()}
         if not others:
             return
@@ -327,13 +331,13 @@
         except (calls.CallError, exceptions.IbisringError) as error:
             LOG.debug('peer %s did not answer: %s', row.name, error)
             return
-        self._take(row.name, state)
+        self._apply_state(row.name, state)
 
-    def _take(self, name, state):
+    def _apply_state(self, name, state):
         origin = f'router {name}'
         if state.table is not None:
-            self.tell(
-                directory_module.Read(
+            self.tell_directory(
+                directory_module.ReadResult(
                     [state.table],
                     True,
                     origin=origin,
@@ -344,8 +348,8 @@
             )
             self.followers.confirm(TABLE, state.table_position, True)
         if state.position > self.view.snapshot.position:
-            self.tell(
-                directory_module.Read(
+            self.tell_directory(
+                directory_module.ReadResult(
                     state.endpoints,
                     True,
                     origin=origin,
@@ -356,6 +360,6 @@
             self.followers.confirm(ENDPOINTS, state.position, True)
 
 
-def make_peers(settings, view, rows, tell, followers):
+def make_peers(settings, view, lease_table, tell_directory, followers):
     """Make `Peers`; start it with ``start()``."""
-    return Peers(settings, view, rows, tell, followers)
+    return Peers(settings, view, lease_table, tell_directory, followers)
--- a/packages/gateway/ibisring_gateway/tests/test_changes.py
+++ b/packages/gateway/ibisring_gateway/tests/test_changes.py
@@ -16,7 +16,11 @@
     x, y = build.endpoint('x'), build.endpoint('y')
     page = ports.Page(9, [x, ports.Gone('x'), y, ports.Gone('z')], 8)
     received = _round_trip(changes.endpoint_changes(page, 5))
-    assert (received.before, received.position, received.changed) == (5, 9, 8)
+    assert (received.before, received.position, received.newest_version) == (
+        5,
+        9,
+        8,
+    )
     assert received.items(None) == [y, ports.Gone('x'), ports.Gone('z')]
 
 
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -10,7 +10,7 @@
 import pytest
 
 
-def _directory():
+def _make_directory():
     view = view_module.make_view('a')
     changes = []
     actor = directory.Directory(
@@ -23,129 +23,129 @@
     return actor, view, changes
 
 
-def _table(actor, version, origin=directory.STORE):
+def _read_table(actor, version, origin=directory.STORE):
     table = build.table(version)
-    actor.on_read(directory.Read([table], True, origin, is_table=True))
+    actor.on_read(directory.ReadResult([table], True, origin, is_table=True))
 
 
-def _endpoints(actor, items, whole=True, position=1, origin='store'):
+def _read_endpoints(actor, items, whole=True, position=1, origin='store'):
     actor.on_read(
-        directory.Read(items, whole, origin=origin, position=position)
+        directory.ReadResult(items, whole, origin=origin, position=position)
     )
 
 
-def test_an_older_table_never_comes_back():
+def test_older_table_is_never_applied():
     """Failure: a revoked key works again for a moment.
 
     After version 9, a peer that is behind or a store with stale state
     returns version 8, and whatever was read last is put in force.
     """
-    actor, view, _ = _directory()
-    _table(actor, 9)
-    _table(actor, 8, 'router r2')
-    _table(actor, 8)
+    actor, view, _ = _make_directory()
+    _read_table(actor, 9)
+    _read_table(actor, 8, 'router r2')
+    _read_table(actor, 8)
     assert view.snapshot.version == 9
-    _table(actor, 12)
+    _read_table(actor, 12)
     assert view.snapshot.version == 12
 
 
-def test_ready_needs_a_table_and_the_endpoints():
-    actor, view, _ = _directory()
+def test_view_is_ready_with_table_and_endpoints():
+    actor, view, _ = _make_directory()
     assert not view.is_ready
-    _table(actor, 1)
+    _read_table(actor, 1)
     assert not view.is_ready
-    _endpoints(actor, [])
+    _read_endpoints(actor, [])
     assert view.is_ready
 
 
-def test_a_draining_endpoint_is_known_but_takes_nothing():
-    actor, view, changes = _directory()
+def test_draining_endpoint_is_known_but_gets_no_requests():
+    actor, view, changes = _make_directory()
     leaving = build.endpoint('x', state=routing.State.DRAINING)
-    _endpoints(actor, [build.endpoint('y'), leaving])
+    _read_endpoints(actor, [build.endpoint('y'), leaving])
     assert [e.id for e in view.snapshot.by_service['lookup']] == ['y']
     assert set(view.snapshot.endpoints) == {'x', 'y'}
     assert len(changes) == 1
 
 
-def test_a_peer_that_is_behind_brings_nothing_back():
+def test_stale_peer_restores_no_endpoint():
     """Failure: an engine that has left is used in chains again.
 
     It is removed, and a peer that has not read this yet returns its list,
     which is accepted by its age instead of its version.
     """
-    actor, view, _ = _directory()
+    actor, view, _ = _make_directory()
     both = [build.endpoint('x'), build.endpoint('y')]
-    _endpoints(actor, both, position=5)
-    _endpoints(actor, [ports.Gone('x')], whole=False, position=6)
-    _endpoints(actor, both, position=5, origin='router r2')
+    _read_endpoints(actor, both, position=5)
+    _read_endpoints(actor, [ports.Gone('x')], whole=False, position=6)
+    _read_endpoints(actor, both, position=5, origin='router r2')
     assert set(view.snapshot.endpoints) == {'y'}
-    _endpoints(actor, [], position=7, origin='router r2')
+    _read_endpoints(actor, [], position=7, origin='router r2')
     assert view.snapshot.endpoints == {}
 
 
 @pytest.mark.parametrize('whole', (True, False))
-def test_an_old_answer_of_the_store_brings_nothing_back(whole):
+def test_old_answer_of_the_store_restores_no_endpoint(whole):
     """Failure: a leaving endpoint gets requests again for a moment.
 
     A router is suspended while an answer of the store is in transit.  It
     resumes, receives newer state from a peer, and then reads the answer,
     which is put in force regardless of its version.
     """
-    actor, view, _ = _directory()
+    actor, view, _ = _make_directory()
     ready = build.endpoint('x')
     leaving = build.endpoint('x', state=routing.State.DRAINING)
-    _endpoints(actor, [ready], position=4)
-    _endpoints(actor, [leaving], position=6, origin='router r2')
-    _endpoints(actor, [ready], whole, position=5)
+    _read_endpoints(actor, [ready], position=4)
+    _read_endpoints(actor, [leaving], position=6, origin='router r2')
+    _read_endpoints(actor, [ready], whole, position=5)
     assert view.snapshot.endpoints['x'].state is routing.State.DRAINING
     gone = [ports.Gone('x')]
-    _endpoints(actor, gone, whole=False, position=7)
+    _read_endpoints(actor, gone, whole=False, position=7)
     assert view.snapshot.endpoints == {}
 
 
-def test_an_engine_that_started_again_is_believed_alive():
-    actor, view, _ = _directory()
-    _endpoints(actor, [build.held_endpoint('x', 0, 8, started=1)])
+def test_restarted_engine_counts_as_alive():
+    actor, view, _ = _make_directory()
+    _read_endpoints(actor, [build.held_endpoint('x', 0, 8, started=1)])
     view.book.unreachable('x', 10.0)
-    again = build.held_endpoint('x', 0, 8, started=2)
-    _endpoints(actor, [again], whole=False, position=2)
+    restarted = build.held_endpoint('x', 0, 8, started=2)
+    _read_endpoints(actor, [restarted], whole=False, position=2)
     assert not view.book.is_dead('x')
 
 
-def test_an_outage_does_not_empty_the_list():
-    actor, view, _ = _directory()
-    _endpoints(actor, [build.endpoint('x')])
-    actor.on_failed(directory.Failed('no answer'))
-    _endpoints(actor, [], position=9)
+def test_outage_does_not_empty_the_list():
+    actor, view, _ = _make_directory()
+    _read_endpoints(actor, [build.endpoint('x')])
+    actor.on_read_failed(directory.ReadFailed('no answer'))
+    _read_endpoints(actor, [], position=9)
     assert set(view.snapshot.endpoints) == {'x'}
 
 
-def test_an_engine_is_believed_of_itself_only_while_the_store_is_away():
+def test_report_of_an_engine_counts_only_during_an_outage():
     """Failure: layers loaded during a store outage are used only after it.
 
     An engine loads layers that it was ordered to hold, but its store entry,
     the only source of its layers, can't change.
     """
-    actor, view, changes = _directory()
-    _endpoints(actor, [build.held_endpoint('x', 0, 8, started=3)])
-    news = directory.HoldingReport('x', 3, build.holding(8, 16))
-    actor.on_holding_report(news)
+    actor, view, changes = _make_directory()
+    _read_endpoints(actor, [build.held_endpoint('x', 0, 8, started=3)])
+    report = directory.HoldingReport('x', 3, build.holding(8, 16))
+    actor.on_holding_report(report)
     assert view.snapshot.endpoints['x'].holding == build.holding(0, 8)
-    actor.on_failed(directory.Failed('no answer'))
-    actor.on_holding_report(news)
+    actor.on_read_failed(directory.ReadFailed('no answer'))
+    actor.on_holding_report(report)
     assert view.snapshot.endpoints['x'].holding == build.holding(8, 16)
     assert len(changes) == 2
     actor.on_holding_report(
         directory.HoldingReport('x', 4, build.holding(0, 4))
     )
     assert view.snapshot.endpoints['x'].holding == build.holding(8, 16)
-    again = build.held_endpoint('x', 0, 4, started=3)
-    _endpoints(actor, [again], whole=False, position=2)
+    restarted = build.held_endpoint('x', 0, 4, started=3)
+    _read_endpoints(actor, [restarted], whole=False, position=2)
     assert view.snapshot.endpoints['x'].holding == build.holding(0, 4)
     assert view.snapshot.store_lost_at is None
 
 
-def test_what_did_not_come_back_is_dropped_in_time():
+def test_endpoint_missing_after_an_outage_is_dropped_in_time():
     """Failure: a request reaches an engine 2.5 s after it announced leaving.
 
     Its entry is missing after an outage and may come back within 2.2 s.
@@ -153,11 +153,11 @@
     which takes a second more.
     """
     clock = builders.Clock()
-    actor, view, _ = _directory()
+    actor, view, _ = _make_directory()
     view.clock = clock
-    _endpoints(actor, [build.endpoint('x'), build.endpoint('y')])
-    actor.on_failed(directory.Failed('no answer'))
-    _endpoints(actor, [ports.Gone('x')], whole=False, position=2)
+    _read_endpoints(actor, [build.endpoint('x'), build.endpoint('y')])
+    actor.on_read_failed(directory.ReadFailed('no answer'))
+    _read_endpoints(actor, [ports.Gone('x')], whole=False, position=2)
     clock.now += 1.0
     actor.on_tick(directory.Tick())
     assert 'x' in view.snapshot.endpoints
@@ -166,7 +166,7 @@
     assert set(view.snapshot.endpoints) == {'y'}
 
 
-def test_each_table_of_the_store_is_told_lost_and_regained(monkeypatch):
+def test_loss_and_return_of_each_table_is_logged(monkeypatch):
     """Failure: the log reports the store as back while one table is stale.
 
     The calls for both tables fail, and one is answered again a second before
@@ -176,13 +176,13 @@
     monkeypatch.setattr(
         directory.logs, 'event', lambda log, name, **f: lines.append((name, f))
     )
-    actor, _, _ = _directory()
+    actor, _, _ = _make_directory()
     for is_table in (True, False):
-        actor.on_failed(directory.Failed('no answer', is_table, 5.4))
-        actor.on_failed(directory.Failed('no answer', is_table, 0.6))
-    _endpoints(actor, [])
-    told = [(n, f['source']) for n, f in lines if n.startswith('store')]
-    assert told == [
+        actor.on_read_failed(directory.ReadFailed('no answer', is_table, 5.4))
+        actor.on_read_failed(directory.ReadFailed('no answer', is_table, 0.6))
+    _read_endpoints(actor, [])
+    logged = [(n, f['source']) for n, f in lines if n.startswith('store')]
+    assert logged == [
         ('store_lost', 'table'),
         ('store_lost', 'endpoints'),
         ('store_regained', 'endpoints'),
--- a/packages/gateway/ibisring_gateway/tests/test_following.py
+++ b/packages/gateway/ibisring_gateway/tests/test_following.py
@@ -11,7 +11,7 @@
 from ibisring_records import exceptions
 
 
-def _reads():
+def _reader_role():
     return sharing.Role.READS
 
 
@@ -20,54 +20,56 @@
 
     def __init__(self):
         self.errors = []
-        self.asked = []
-        self.ended = 0
+        self.calls = []
+        self.cancelled = 0
 
-    def _ask(self, what):
-        self.asked.append(what)
+    def _answer(self, call):
+        self.calls.append(call)
         if self.errors:
             raise self.errors.pop(0)
         return ports.Page(7, [])
 
     def read_all(self):
-        return self._ask('all')
+        return self._answer('all')
 
     def changes(self, position, wait):
-        return self._ask(wait)
+        return self._answer(wait)
 
     def end_call(self):
-        self.ended += 1
+        self.cancelled += 1
 
 
 def _followers():
-    told = []
+    messages = []
     followers = following.make_followers(
-        polling.Fleet, _reads, builders.Clock()
+        polling.Fleet, _reader_role, builders.Clock()
     )
     for name in ('table', 'endpoints'):
-        followers.add(name, _Source(), name == 'table', told.append)
-    return followers, told
+        followers.add(name, _Source(), name == 'table', messages.append)
+    return followers, messages
 
 
-def _lost():
+def _answer_lost():
     return exceptions.PlatformAnswerLost('no answer')
 
 
-def test_a_router_that_serves_goes_on_where_it_was():
+def test_failed_call_is_followed_by_a_short_poll():
     """After a failed call a short poll follows, not another full read."""
-    followers, told = _followers()
+    followers, messages = _followers()
     table = followers.members['table']
-    table.step()
-    assert told[0].whole and told[0].position == 7
-    table.source.errors = [_lost()]
+    table.read_once()
+    assert messages[0].whole and messages[0].position == 7
+    table.source.errors = [_answer_lost()]
     table._follow()
-    assert isinstance(told[1], directory.Failed) and told[1].is_table
-    table.step()
-    assert not told[-1].whole
-    assert table.source.asked == ['all', polling.CALL_EVERY, 0.0]
+    assert (
+        isinstance(messages[1], directory.ReadFailed) and messages[1].is_table
+    )
+    table.read_once()
+    assert not messages[-1].whole
+    assert table.source.calls == ['all', polling.CALL_EVERY, 0.0]
 
 
-def test_a_failure_ends_the_call_that_may_hang():
+def test_failed_call_cancels_other_calls_that_may_hang():
     """Failure: endpoints are current again, but routes stay old for seconds.
 
     The store stops answering during two calls.  One times out and its retry
@@ -75,35 +77,35 @@
     """
     followers, _ = _followers()
     table, endpoints = followers.members.values()
-    table.step()
-    endpoints.step()
-    followers.wait('endpoints')
-    table.source.errors = [_lost()]
+    table.read_once()
+    endpoints.read_once()
+    followers.start_call('endpoints')
+    table.source.errors = [_answer_lost()]
     table._follow()
-    assert endpoints.source.ended == 1
+    assert endpoints.source.cancelled == 1
 
 
-def test_a_call_that_was_ended_is_no_failure():
-    followers, told = _followers()
+def test_cancelled_call_is_no_failure():
+    followers, messages = _followers()
     table = followers.members['table']
-    table.step()
+    table.read_once()
     table.source.errors = [ports.CallEnded('a new one begins')]
     table._follow()
-    assert len(told) == 1
+    assert len(messages) == 1
     assert not followers.polling.in_trouble('table')
 
 
-def test_a_dropped_history_is_no_failure():
-    followers, told = _followers()
+def test_expired_history_is_no_failure():
+    followers, messages = _followers()
     table = followers.members['table']
-    table.step()
+    table.read_once()
     table.source.errors = [ports.HistoryGone('too old')]
     table._follow()
     table._follow()
-    assert table.source.asked[-1] == 'all' and len(told) == 2
+    assert table.source.calls[-1] == 'all' and len(messages) == 2
 
 
-def test_what_decides_may_ask_how_the_router_stands():
+def test_polling_slot_may_depend_on_the_store_status():
     """Failure: deadlock, after which a router never calls the store again.
 
     When a call fails, the follower holds the lock while it gets the router's
@@ -112,20 +114,20 @@
     followers, _ = _followers()
 
     def fleet():
-        followers.standing(False)
+        followers.store_access(False)
         return polling.Fleet()
 
     followers.fleet = fleet
     table = followers.members['table']
-    table.step()
-    table.source.errors = [_lost()]
+    table.read_once()
+    table.source.errors = [_answer_lost()]
     thread = threading.Thread(target=table._follow, daemon=True)
     thread.start()
     thread.join(5.0)
     assert not thread.is_alive()
 
 
-def test_a_call_from_before_does_not_hang_when_the_readers_lost_the_store():
+def test_earlier_call_is_cancelled_when_the_readers_lose_the_store():
     """Failure: a router notices the store's return nine seconds late.
 
     It becomes dependent on readers while its own long poll is running.  The
@@ -134,9 +136,9 @@
     """
     followers, _ = _followers()
     for follower in followers.members.values():
-        follower.step()
-    followers.wait('table')
+        follower.read_once()
+    followers.start_call('table')
     followers.clock.now += 1.0
     followers.role_changed(sharing.Role.ASKS)
-    assert [f.source.ended for f in followers.members.values()] == [1, 0]
-    assert followers.wait('endpoints') == 0.0
+    assert [f.source.cancelled for f in followers.members.values()] == [1, 0]
+    assert followers.start_call('endpoints') == 0.0
--- a/packages/gateway/ibisring_gateway/tests/test_gossip.py
+++ b/packages/gateway/ibisring_gateway/tests/test_gossip.py
@@ -12,51 +12,61 @@
 from ibisring_policy.gateway import suspects
 
 
-class _Older(msgspec.Struct, array_like=True):
+class _OlderMessage(msgspec.Struct, array_like=True):
     """Message of an older release, which reads the store for itself only."""
 
     router: str
     tokens: dict[str, int]
-    dead: list[str]
-    changed: int = 0
-    table: int = 0
-    slow: dict[str, float] = {}
-    touch: int = 0
+    unreachable: list[str]
+    endpoints_version: int = 0
+    table_version: int = 0
+    slowdowns: dict[str, float] = {}
+    store_status: int = 0
     term: int = 0
-    held: dict[str, tuple[int, int, int]] = {}
-    full: list[str] = []
+    holdings: dict[str, tuple[int, int, int]] = {}
+    refusing: list[str] = []
     domain: str = ''
-    lost_ms: int | None = None
+    store_lost_ms: int | None = None
 
 
-def test_an_older_release_reads_what_a_newer_one_tells():
+def test_older_release_decodes_a_newer_message():
     suspect = suspects.Word(b'12345678', {1: 5})
-    told = gossip.Told(
+    message = gossip.Message(
         'r1',
         {'x': 5},
         ['y'],
         7,
         changes=b'abc',
-        back=['z'],
+        recovered=['z'],
         suspects=[suspect],
     )
-    data = msgspec.msgpack.encode(told)
-    older = msgspec.msgpack.decode(data, type=_Older)
-    assert (older.router, older.tokens, older.dead) == ('r1', {'x': 5}, ['y'])
-    assert older.changed == 7
-    assert msgspec.msgpack.decode(data, type=gossip.Told).suspects == [suspect]
+    data = msgspec.msgpack.encode(message)
+    decoded = msgspec.msgpack.decode(data, type=_OlderMessage)
+    assert (decoded.router, decoded.tokens, decoded.unreachable) == (
+        'r1',
+        {'x': 5},
+        ['y'],
+    )
+    assert decoded.endpoints_version == 7
+    assert msgspec.msgpack.decode(data, type=gossip.Message).suspects == [
+        suspect
+    ]
 
 
-def test_an_older_release_reads_for_nobody():
+def test_older_release_does_not_count_as_a_reader():
     """Failure: a router waits for changes that an older peer never sends."""
-    data = msgspec.msgpack.encode(_Older('a', {}, [], domain='d', touch=2))
-    told = msgspec.msgpack.decode(data, type=gossip.Told)
-    neighbour = sharing.Neighbour(told.router, told.standing, told.link)
+    data = msgspec.msgpack.encode(
+        _OlderMessage('a', {}, [], domain='d', store_status=2)
+    )
+    message = msgspec.msgpack.decode(data, type=gossip.Message)
+    neighbour = sharing.Neighbour(
+        message.router, message.store_access, message.link
+    )
     own = sharing.Neighbour('b', sharing.Standing.SERVED)
     assert sharing.role(own, [neighbour] * 3) is sharing.Role.READS
 
 
-def _gossip(view):
+def _make_gossip(view):
     """Return a router's gossip that has no socket."""
     settings = settings_module.Settings(
         router_id='r0',
@@ -72,13 +82,13 @@
     )
     for name in (peers.TABLE, peers.ENDPOINTS):
         followers.add(name, None, name == peers.TABLE, [].append)
-    known = peers.make_peers(
+    router_peers = peers.make_peers(
         settings, view, builders.Leases(), [].append, followers
     )
-    return gossip.Gossip(settings, view, known, [].append, None)
+    return gossip.Gossip(settings, view, router_peers, [].append, None)
 
 
-def test_what_is_not_in_force_yet_is_not_told_as_known():
+def test_position_sent_is_the_one_in_force():
     """Failure: a router keeps sending to an endpoint that has left.
 
     A reader that has read a change but not yet applied it sends the new
@@ -86,9 +96,9 @@
     changed up to that position, and skip the change when it is sent.
     """
     view = builders.view_of([])
-    teller = _gossip(view)
-    for follower in teller.peers.followers.members.values():
+    sender = _make_gossip(view)
+    for follower in sender.peers.followers.members.values():
         follower.position = view.snapshot.position + 100
-    told = teller._told(view.clock())
-    assert told.position == view.snapshot.position
-    assert told.table_position == view.snapshot.table_position
+    message = sender._message(view.clock())
+    assert message.position == view.snapshot.position
+    assert message.table_position == view.snapshot.table_position
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -22,20 +22,22 @@
 LOST = ordering.StoreTouch.LOST
 
 
-def _reads():
+def _reader_role():
     return sharing.Role.READS
 
 
-def _hear(known, name, domain, touch, at, lost_ms=None, standing=None):
+def _receive_report(
+    router_peers, name, domain, touch, at, lost_ms=None, standing=None
+):
     """Have a router receive a datagram of another one."""
     neighbour = sharing.Neighbour(name, standing) if standing else None
     heard = hearing.Heard(
         name=name, domain=domain, at=at, touch=touch, neighbour=neighbour
     )
-    known.heard(heard, f'{name}:1', lost_ms)
+    router_peers.receive_report(heard, f'{name}:1', lost_ms)
 
 
-def _peers(view=None):
+def _make_peers(view=None):
     settings = settings_module.Settings(
         router_id='r0',
         failure_domain='a',
@@ -46,7 +48,7 @@
         peer_port=0,
     )
     view = view or builders.view_of([])
-    followers = following.make_followers(polling.Fleet, _reads)
+    followers = following.make_followers(polling.Fleet, _reader_role)
     for name in (peers.TABLE, peers.ENDPOINTS):
         followers.add(name, None, name == peers.TABLE, [].append)
     return peers.make_peers(
@@ -54,137 +56,147 @@
     )
 
 
-def test_a_router_knows_its_place_among_those_that_read():
+def test_polling_slot_among_the_readers():
     """Two routers of each domain read, or all while these lost the store."""
-    known = _peers()
+    router_peers = _make_peers()
     clock = builders.Clock()
-    known.view.clock = clock
-    known.hearing.begun_at = 0.0
+    router_peers.view.clock = clock
+    router_peers.peer_reports.begun_at = 0.0
     served = sharing.Standing.SERVED
     for name, domain in (('q1', 'a'), ('r1', 'a'), ('s1', 'b'), ('t1', 'B')):
-        _hear(known, name, domain, LOST, clock(), None, served)
-    assert known.polling_slot() == polling.Fleet(4, 2, 5)
+        _receive_report(
+            router_peers, name, domain, LOST, clock(), None, served
+        )
+    assert router_peers.polling_slot() == polling.Fleet(4, 2, 5)
     for name in ('q1', 'r1'):
         lost = sharing.Standing.LOST
-        _hear(known, name, 'a', LOST, clock(), None, lost)
-    known._judge_role(clock())
-    assert known.role() is sharing.Role.ASKS
-    assert known.polling_slot() == polling.Fleet(5, 1, 5)
+        _receive_report(router_peers, name, 'a', LOST, clock(), None, lost)
+    router_peers._update_role(clock())
+    assert router_peers.role() is sharing.Role.ASKS
+    assert router_peers.polling_slot() == polling.Fleet(5, 1, 5)
     clock.now += 100.0
-    known._judge_role(clock())
-    assert known.polling_slot() == polling.Fleet(1, 0, 1)
+    router_peers._update_role(clock())
+    assert router_peers.polling_slot() == polling.Fleet(1, 0, 1)
 
 
-def test_what_others_say_of_the_store_is_passed_on():
+def test_store_status_of_peers_reaches_the_followers():
     """Failure: routers wait on a store that another one knows is lost.
 
     The store stops answering; one router's call times out, and the others
     keep waiting for seconds, even after the store is back, because they
     ignore the store status in that router's messages.
     """
-    known = _peers()
-    said = []
-    known.followers.told_of_loss = said.append
-    known.followers.returned = lambda: said.append('back')
-    told = ((FOLLOWED, None), (LOST, 500), (FOLLOWED, 800))
-    for touch, lost_ms in told:
-        _hear(known, 'r1', 'a', touch, 10.0, lost_ms)
-    assert said == [9.5, 9.2, 'back']
+    router_peers = _make_peers()
+    notified = []
+    router_peers.followers.outage_reported = notified.append
+    router_peers.followers.recovery_reported = lambda: notified.append('back')
+    reports = ((FOLLOWED, None), (LOST, 500), (FOLLOWED, 800))
+    for touch, lost_ms in reports:
+        _receive_report(router_peers, 'r1', 'a', touch, 10.0, lost_ms)
+    assert notified == [9.5, 9.2, 'back']
 
 
-def test_a_router_that_is_ahead_is_asked():
+def test_state_is_fetched_from_a_router_that_is_ahead():
     """Failure: a revoked key works until the store call times out.
 
     The connection to the store hangs; other routers have read the change
     and send its version, but only the end of the own call is acted upon.
     """
-    known = _peers()
-    view = known.view
-    telling = gossip.Gossip.__new__(gossip.Gossip)
-    telling.view, telling.peers = view, known
-    news = gossip.Told('r1', {}, [], changed=0, table=view.snapshot.version)
-    telling.take(news, ('10.0.0.1', 7000))
-    assert known.catchup.behind_since is None
-    news.table += 1
-    telling.take(news, ('10.0.0.1', 7000))
-    since = known.catchup.behind_since
-    assert known.catchup.ahead == 'r1'
-    assert known.others()[0].address == '10.0.0.1:7000'
-    assert known.catchup.is_due(since + catchup.MOST_BEHIND, 0.0, 6)
-    known.catchup.forget(since + 10.0)
-    assert known.catchup.ahead is None
-
-
-def test_a_router_nearby_is_asked_first():
+    router_peers = _make_peers()
+    view = router_peers.view
+    receiver = gossip.Gossip.__new__(gossip.Gossip)
+    receiver.view, receiver.peers = view, router_peers
+    message = gossip.Message(
+        'r1', {}, [], endpoints_version=0, table_version=view.snapshot.version
+    )
+    receiver.receive(message, ('10.0.0.1', 7000))
+    assert router_peers.catchup.behind_since is None
+    message.table_version += 1
+    receiver.receive(message, ('10.0.0.1', 7000))
+    since = router_peers.catchup.behind_since
+    assert router_peers.catchup.ahead == 'r1'
+    assert router_peers.others()[0].address == '10.0.0.1:7000'
+    assert router_peers.catchup.is_due(since + catchup.MOST_BEHIND, 0.0, 6)
+    router_peers.catchup.forget(since + 10.0)
+    assert router_peers.catchup.ahead is None
+
+
+def test_state_is_fetched_from_the_same_domain_first():
     """Failure: lists of endpoints are fetched across failure domains.
 
     With 88 routers and 95 endpoints each change costs 88 lists of 14 KB, of
     which two thirds would cross links between domains.
     """
-    known = _peers()
+    router_peers = _make_peers()
     for name, domain in (('far', 'b'), ('near', 'a'), ('away', 'c')):
-        _hear(known, name, domain, LOST, 10.0)
-        known.behind(name, 10.0)
-    assert known.catchup.ahead == 'near'
+        _receive_report(router_peers, name, domain, LOST, 10.0)
+        router_peers.note_newer(name, 10.0)
+    assert router_peers.catchup.ahead == 'near'
 
 
 @pytest.mark.parametrize('count', (6, 83))
-def test_what_others_know_of_the_store_is_forgotten(count):
+def test_store_status_of_peers_expires(count):
     """Failure: no router sends orders for seconds after a router was killed.
 
     The store fails together with the router that would take the lead, and
     that router still counts as running, for as long as in the retry budget.
     """
-    known = _peers()
+    router_peers = _make_peers()
     for number in range(1, count):
-        _hear(known, f'r{number}', 'a', LOST, 10.0)
-    assert len(known.store_statuses(11.0)) == count - 1
-    assert known.store_statuses(10.0 + hearing.HEARD_FOR) == {}
+        _receive_report(router_peers, f'r{number}', 'a', LOST, 10.0)
+    assert len(router_peers.store_statuses(11.0)) == count - 1
+    assert router_peers.store_statuses(10.0 + hearing.HEARD_FOR) == {}
     if count == 6:
-        assert known.store_statuses(10.0 + hearing.HEARD_LATELY) == {}
+        assert router_peers.store_statuses(10.0 + hearing.HEARD_LATELY) == {}
 
 
-def test_holdings_that_engines_told_another_router_are_taken():
-    known = _peers()
-    told = []
-    telling = gossip.Gossip.__new__(gossip.Gossip)
-    telling.view, telling.peers, telling.tell = known.view, known, told.append
-    news = gossip.Told('r1', {}, [], held={'x': (5, 0, 8)}, term=4, touch=LOST)
-    data = msgspec.msgpack.encode(news)
-    told_us = msgspec.msgpack.decode(data, type=gossip.Told)
-    telling.take(told_us, ('10.0.0.1', 7))
-    assert told == [directory.HoldingReport('x', 5, routing.Holding(0, 8))]
-    assert known.view.term == 4
+def test_holdings_reported_to_a_peer_are_applied():
+    router_peers = _make_peers()
+    applied = []
+    receiver = gossip.Gossip.__new__(gossip.Gossip)
+    receiver.view, receiver.peers, receiver.tell_directory = (
+        router_peers.view,
+        router_peers,
+        applied.append,
+    )
+    message = gossip.Message(
+        'r1', {}, [], holdings={'x': (5, 0, 8)}, term=4, store_status=LOST
+    )
+    data = msgspec.msgpack.encode(message)
+    decoded = msgspec.msgpack.decode(data, type=gossip.Message)
+    receiver.receive(decoded, ('10.0.0.1', 7))
+    assert applied == [directory.HoldingReport('x', 5, routing.Holding(0, 8))]
+    assert router_peers.view.term == 4
 
 
-def test_what_is_told_to_a_peer():
-    known = _peers()
-    version = known.view.snapshot.version
-    assert known.state_for(version).table is None
-    assert known.state_for(version - 1).table.version == version
+def test_state_for_a_peer_omits_a_known_table():
+    router_peers = _make_peers()
+    version = router_peers.view.snapshot.version
+    assert router_peers.state_for(version).table is None
+    assert router_peers.state_for(version - 1).table.version == version
 
 
-def test_what_another_router_gave_is_gone_on_from():
+def test_changes_continue_from_state_of_a_peer():
     """Failure: a router fetches the whole list from peers again and again.
 
     It misses one change and fetches all endpoints from a peer, but does not
     record their version as known, so that it rejects the next change too.
     """
-    known = _peers()
-    for follower in known.followers.members.values():
+    router_peers = _make_peers()
+    for follower in router_peers.followers.members.values():
         follower.position = 5
     state = peers.State(9, 0.0, 0.0, 20, build.table(9), [], 19)
-    known._take('r1', state)
+    router_peers._apply_state('r1', state)
     for name, before in ((peers.ENDPOINTS, 20), (peers.TABLE, 19)):
-        told = changes.Changes(name == peers.TABLE, before, 25, 25)
-        assert known.followers.take(name, told)
+        message = changes.Changes(name == peers.TABLE, before, 25, 25)
+        assert router_peers.followers.apply_changes(name, message)
 
 
-def test_store_and_routers_are_asked_in_turn():
+def test_store_and_peers_are_queried_alternately():
     """Failure: either the store or the peers can't provide what was missed."""
-    known = catchup.make_catchup()
-    asked = []
-    for turn in range(4):
-        known.asked(turn, not known.asked_store)
-        asked.append(known.asked_store)
-    assert asked == [True, False, True, False]
+    router_peers = catchup.make_catchup()
+    from_store = []
+    for number in range(4):
+        router_peers.asked(number, not router_peers.asked_store)
+        from_store.append(router_peers.asked_store)
+    assert from_store == [True, False, True, False]
--- a/packages/gateway/ibisring_gateway/tests/virtualfleet.py
+++ b/packages/gateway/ibisring_gateway/tests/virtualfleet.py
@@ -72,7 +72,7 @@
         other = self.fleet.by_address.get(f'{address[0]}:{address[1]}')
         if other is None or self.fleet.is_dropped(self.router, other):
             return
-        message = msgspec.msgpack.decode(data, type=gossip.Told)
+        message = msgspec.msgpack.decode(data, type=gossip.Message)
         source = self.router.host, self.router.settings.peer_port
         arrives_at = max(
             scheduler.now + DATAGRAM_SECONDS,
@@ -88,7 +88,7 @@
         name = other.settings.router_id if other else ''
         is_frozen = scheduler.frozen.get(name, 0.0) > scheduler.now
         if other is None or is_frozen or self.fleet.is_cut(self.router, other):
-            scheduler.sleep(peers.READ_TIMEOUT)
+            scheduler.sleep(peers.READ_TIMEOUT_SECONDS)
             raise calls.AnswerLost(address)
         state = other.peers.state_for(int(path.partition('=')[2]))
         scheduler.sleep(DATAGRAM_SECONDS)
@@ -124,7 +124,7 @@
             lambda table: None,
         )
         network = _Network(fleet, self)
-        tell = self.directory.on_receive
+        tell_directory = self.directory.on_receive
         rows = _RouterRows(fleet, number)
         followers = following.make_followers(
             lambda: self.peers.polling_slot(),
@@ -132,15 +132,15 @@
             scheduler.clock,
         )
         self.peers = peers.Peers(
-            self.settings, self.view, rows, tell, followers
+            self.settings, self.view, rows, tell_directory, followers
         )
         self.peers.caller = network
         self.gossip = gossip.Gossip(
-            self.settings, self.view, self.peers, tell, network
+            self.settings, self.view, self.peers, tell_directory, network
         )
         for name in (TABLE, ENDPOINTS):
             source = virtualstore.Source(fleet.store, number, name)
-            followers.add(name, source, name == TABLE, tell)
+            followers.add(name, source, name == TABLE, tell_directory)
         followers.polling.draw = random.Random(fleet.rng.random()).random
         for part in followers.members.values():
             part.wake = virtualtime.Event(scheduler)
@@ -162,7 +162,7 @@
     def receive(self, message, source):
         """Receive a datagram."""
         if self.is_up:
-            self.gossip.take(message, source)
+            self.gossip.receive(message, source)
 
     def versions(self):
         """Return the version of each source in force."""
--- a/packages/gateway/ibisring_gateway/view.py
+++ b/packages/gateway/ibisring_gateway/view.py
@@ -42,7 +42,7 @@
         When endpoints were first read.
     position : int
         Store version of the endpoints.
-    changed : int
+    newest_version : int
         Store version at which endpoints last changed.
     table_position : int
         Store version up to which the table is known.
@@ -58,7 +58,7 @@
     endpoints_known: bool = False
     known_since: float = 0.0
     position: int = 0
-    changed: int = 0
+    newest_version: int = 0
     table_position: int = 0
     store_lost_at: float | None = None
 
