--- a/packages/gateway/ibisring_gateway/asking.py
+++ b/packages/gateway/ibisring_gateway/asking.py
@@ -5,8 +5,8 @@
 import concurrent.futures
 import logging
 
-from ibisring_policy.gateway import loadbook
-from ibisring_policy.gateway import patience
+from ibisring_policy.gateway import adaptivetimeout
+from ibisring_policy.gateway import estimates
 from ibisring_records import exceptions
 from ibisring_router import logs
 
@@ -41,7 +41,7 @@
         self.engines = engines
         self.metrics = metrics
         self.clock = view.clock
-        self.timeout = patience.make_patience(
+        self.timeout = adaptivetimeout.make_adaptive_timeout(
             MIN_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS
         )
         # Separate from the pool that checks attempts, whose threads wait for
@@ -68,7 +68,7 @@
             recent = self.recent_queries.get(endpoint.id)
             if recent is not None and now - recent[0] < SHARED_SECONDS:
                 return recent[1]
-            timeout = self.timeout.limit
+            timeout = self.timeout.seconds
             future = self.pool.submit(self._status, endpoint, timeout)
             self.recent_queries[endpoint.id] = now, future
             return future
@@ -107,10 +107,10 @@
     def _record_slowdown(self, endpoint, status):
         now = self.clock()
         with self.view.lock:
-            before = self.view.book.pace(endpoint.id, now)
-            self.view.book.note_pace(endpoint.id, status.pace, now)
-            after = self.view.book.pace(endpoint.id, now)
-        if (before < loadbook.SLOW) != (after < loadbook.SLOW):
+            before = self.view.estimates.slowdown(endpoint.id, now)
+            self.view.estimates.note_slowdown(endpoint.id, status.pace, now)
+            after = self.view.estimates.slowdown(endpoint.id, now)
+        if (before < estimates.SLOW_FACTOR) != (after < estimates.SLOW_FACTOR):
             logs.event(LOG, 'pace', endpoint=endpoint.id, pace=status.pace)
 
     def _probe(self, endpoint):
@@ -118,10 +118,10 @@
         now = self.clock()
         with self.view.lock:
             if alive:
-                self.timeout.late_but_alive()
-                self.view.book.reached(endpoint.id, now)
+                self.timeout.false_timeout()
+                self.view.estimates.note_reachable(endpoint.id, now)
             else:
-                self.view.book.unreachable(endpoint.id, now)
+                self.view.estimates.note_unreachable(endpoint.id, now)
         logs.event(LOG, 'asked_again', endpoint=endpoint.id, alive=alive)
 
 
--- a/packages/gateway/ibisring_gateway/changes.py
+++ b/packages/gateway/ibisring_gateway/changes.py
@@ -54,11 +54,11 @@
             None if the change is relative to another table.
         """
         if not self.is_table:
-            removed = [ports.Gone(name) for name in self.removed]
+            removed = [ports.Removed(name) for name in self.removed]
             return [*self.endpoints, *removed]
         if known is None or known.version != self.table.base:
             return None
-        return [tablechanges.patched(known, self.table)]
+        return [tablechanges.apply_change(known, self.table)]
 
 
 def table_changes(page, before, known):
@@ -79,23 +79,25 @@
     """
     if known is None:
         return None
-    change = tablechanges.difference(known, page.items[-1])
+    change = tablechanges.compute_change(known, page.items[-1])
     if change is None:
         return None
-    return Changes(True, before, page.position, page.changed, table=change)
+    return Changes(
+        True, before, page.position, page.newest_version, table=change
+    )
 
 
 def endpoint_changes(page, before):
     """Encode a page of endpoints as a change since `before`."""
     last_by_id = {item.id: item for item in page.items}
     removed = [
-        n for n, item in last_by_id.items() if isinstance(item, ports.Gone)
+        n for n, item in last_by_id.items() if isinstance(item, ports.Removed)
     ]
     endpoints = [
         item for name, item in last_by_id.items() if name not in set(removed)
     ]
     return Changes(
-        False, before, page.position, page.changed, endpoints, removed
+        False, before, page.position, page.newest_version, endpoints, removed
     )
 
 
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -86,7 +86,7 @@
     ----------
     view : view.View
     metrics : metrics.Metrics
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     on_change : callable
         Called after endpoints have changed.
     on_table : callable
@@ -115,7 +115,7 @@
     def on_read_failed(self, message):
         """Record that the store does not answer."""
         now = self.view.clock()
-        if self.presence.failed(now):
+        if self.presence.read_failed(now):
             self._replace(store_lost_at=now)
             self.metrics.count('store_lost')
         source = _table_name(message)
@@ -157,7 +157,7 @@
 
     def _store_answered(self, message, now):
         self.view.lease_lost_at = None
-        if self.presence.succeeded(now):
+        if self.presence.read_succeeded(now):
             self._replace(store_lost_at=None)
         source = _table_name(message)
         if source in self.lost_tables:
@@ -200,7 +200,9 @@
         """Apply an engine's own report while its store entry can't change."""
         if self.view.store_lost_at is None:
             return
-        if self.presence.amend(message.id, message.started, message.holding):
+        if self.presence.update_holding(
+            message.id, message.started, message.holding
+        ):
             before = self.view.snapshot
             self._publish(
                 self.view.clock(), 'engine', before.endpoints_read_at, before
@@ -246,14 +248,14 @@
             )
             return
         if message.origin != STORE:
-            self.presence.served_another(now - message.age)
+            self.presence.store_served_peer(now - message.age)
             if message.position <= self.view.snapshot.position:
                 return
         if message.whole:
             # A peer has read the store, so endpoints missing from its list
             # have left.
             sure = message.origin != STORE
-            changed = self.presence.replace(message.items, now, sure=sure)
+            changed = self.presence.replace(message.items, now, confirmed=sure)
         else:
             changed = self._apply_each(message.items, now)
         changed |= self.presence.expire(now)
@@ -268,7 +270,7 @@
         """Add or remove endpoints; True if anything changed."""
         changed = False
         for item in items:
-            if isinstance(item, ports.Gone):
+            if isinstance(item, ports.Removed):
                 changed |= self.presence.remove(item.id, now)
             else:
                 changed |= self.presence.put(item, now)
@@ -301,23 +303,23 @@
             endpoints_known=True,
             known_since=before.known_since if before.endpoints_known else now,
         )
-        self.connections.forget(usable)
+        self.connections.close_except(usable)
         with self.view.lock:
-            self.view.book.keep_only(usable)
+            self.view.estimates.retain(usable)
             self.view.limits.keep_only(usable)
             for endpoint in usable.values():
-                self.view.limits.started(endpoint.id, endpoint.started)
-                estimate = self.view.book.of(endpoint.id)
+                self.view.limits.record_start(endpoint.id, endpoint.started)
+                estimate = self.view.estimates.get(endpoint.id)
                 if estimate.started != endpoint.started:
                     estimate.started = endpoint.started
-                    self.view.book.reached(endpoint.id, now)
+                    self.view.estimates.note_reachable(endpoint.id, now)
         logs.event(
             LOG,
             'endpoints',
             origin=origin,
             usable=len(usable),
             ready=sum(len(group) for group in by_service.values()),
-            changed=self.presence.take_changes(),
+            changed=self.presence.drain_changes(),
         )
         self.on_change()
 
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -65,7 +65,7 @@
             if attempt.stages:
                 self._check_stages(attempt)
             else:
-                attempt.abort(attempts.End.SILENT)
+                attempt.abort(attempts.Result.SILENT)
         except Exception:
             LOG.exception(
                 'stage check failed for request %s', attempt.request_id
@@ -77,7 +77,7 @@
         attempt.checks += 1
         lost = self._find_lost(attempt)
         now = self.clock()
-        if attempt.end is not None:
+        if attempt.result is not None:
             return
         if not lost:
             self._recheck_or_restart(attempt, now)
@@ -91,7 +91,7 @@
             events=attempt.events,
         )
         if attempt.endpoint.id in lost:
-            attempt.abort(attempts.End.SILENT)
+            attempt.abort(attempts.Result.SILENT)
             return
         # Engines refuse a path with a stage that is leaving or has given up
         # its layers, so such stages are replaced along with the lost ones.
@@ -106,16 +106,16 @@
         Otherwise the attempt stays: the lost layers may be loaded elsewhere
         before the caller gives up.
         """
-        if self.selector.has_other(attempt, now):
-            attempt.abort(attempts.End.SILENT)
+        if self.selector.has_alternative(attempt, now):
+            attempt.abort(attempts.Result.SILENT)
         else:
             attempt.check_at = now + RECHECK_SECONDS
 
     def _recheck_or_restart(self, attempt, now):
-        if attempt.checks > MAX_CHECKS and self.selector.has_other(
+        if attempt.checks > MAX_CHECKS and self.selector.has_alternative(
             attempt, now
         ):
-            attempt.abort(attempts.End.SILENT)
+            attempt.abort(attempts.Result.SILENT)
             return
         checks = min(MAX_CHECKS, attempt.checks)
         attempt.check_at = now + RECHECK_SECONDS * 2 ** (checks - 1)
@@ -126,7 +126,7 @@
         names = [stage.endpoint for stage in attempt.stages]
         with self.view.lock:
             unavailable = {n for n in names if n not in by_id}
-            unavailable |= {n for n in names if self.view.book.is_dead(n)}
+            unavailable |= {n for n in names if self.view.estimates.is_dead(n)}
         alive = self._proven_alive(attempt)
         queried = [by_id[n] for n in names if n not in unavailable | alive]
         queries = [self.querier.query(endpoint) for endpoint in queried]
@@ -144,9 +144,9 @@
         with self.view.lock:
             for endpoint in queried:
                 if endpoint.id in lost:
-                    self.view.book.unreachable(endpoint.id, now)
+                    self.view.estimates.note_unreachable(endpoint.id, now)
                 else:
-                    self.view.book.reached(endpoint.id, now)
+                    self.view.estimates.note_reachable(endpoint.id, now)
         return lost | unavailable
 
     def _proven_alive(self, attempt):
@@ -189,8 +189,8 @@
                     self.pool.submit(self._move_off, attempt, leaving)
         with self.view.lock:
             now = self.clock()
-            names = self.view.book.to_revive(snapshot.endpoints, now)
-            slow = self.view.book.to_ask_pace(now)
+            names = self.view.estimates.dead_to_probe(snapshot.endpoints, now)
+            slow = self.view.estimates.slow_to_probe(now)
         for name in names:
             self.querier.probe(snapshot.endpoints[name])
         for name in slow:
@@ -227,7 +227,7 @@
             attempt, endpoints
         ):
             return False
-        if not self.selector.has_other(attempt, self.clock()):
+        if not self.selector.has_alternative(attempt, self.clock()):
             return False
         logs.event(
             LOG,
@@ -235,12 +235,12 @@
             id=attempt.request_id,
             engines=sorted(_unloaded(attempt, endpoints)),
         )
-        attempt.abort(attempts.End.SILENT)
+        attempt.abort(attempts.Result.SILENT)
         return True
 
     def _reroute(self, attempt, lost):
         """Replace lost stages of a request, keeping its first one."""
-        stages = self.selector.repair(attempt, lost, self.clock())
+        stages = self.selector.replace_stages(attempt, lost, self.clock())
         if stages is None or stages == attempt.stages:
             logs.event(
                 LOG, 'no_way_round', id=attempt.request_id, lost=sorted(lost)
@@ -261,8 +261,8 @@
         )
         if result not in (ports.OrderResult.BEGUN, ports.OrderResult.DONE):
             return False
-        if attempt.end is None:
-            self.selector.move(attempt, stages)
+        if attempt.result is None:
+            self.selector.change_stages(attempt, stages)
             attempt.check_at = self.clock() + REPLACEMENT_PAUSE_SECONDS
         return True
 
--- a/packages/gateway/ibisring_gateway/feeds.py
+++ b/packages/gateway/ibisring_gateway/feeds.py
@@ -58,7 +58,7 @@
         PlatformUnavailable
             The connection could not be opened.
         PlatformAnswerLost
-        CallEnded
+        CallCancelled
             Another thread cancelled the call.
         """
         self._connect()
@@ -106,7 +106,7 @@
         if self.is_cancelled:
             self.is_cancelled = False
             self._close()
-            raise ports.CallEnded('cancelled to start a new call')
+            raise ports.CallCancelled('cancelled to start a new call')
 
     def _close(self):
         self.conn.close()
--- a/packages/gateway/ibisring_gateway/following.py
+++ b/packages/gateway/ibisring_gateway/following.py
@@ -10,7 +10,7 @@
 from ibisring_gateway import directory as directory_module
 from ibisring_gateway import ports
 from ibisring_policy.gateway import polling as polling_module
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_records import exceptions
 
 LOG = logging.getLogger(__name__)
@@ -77,9 +77,9 @@
         try:
             if self.read_once():
                 self.pause(self.followers.change_pause())
-        except ports.CallEnded:
+        except ports.CallCancelled:
             LOG.debug('call_ended %s', self.name)
-        except ports.HistoryGone as error:
+        except ports.HistoryExpired as error:
             LOG.info('history_gone', extra={'facts': {'why': error.detail}})
             self.position = None
             self.followers.answered(self.name, True)
@@ -122,7 +122,7 @@
                 is_table=self.is_table,
                 position=page.position,
                 waited=self.clock() - self.call_started_at,
-                newest_version=page.changed,
+                newest_version=page.newest_version,
             )
         )
         return changed
@@ -142,7 +142,7 @@
     fleet : callable
         Returns the `polling.Fleet`.
     role : callable
-        Returns the `sharing.Role`.
+        Returns the `storereaders.Role`.
     clock : callable
 
     Attributes
@@ -200,15 +200,15 @@
             return self.polling.delay(name, now)
 
     def _relies_on_readers(self, name, role, now):
-        if role is not sharing.Role.TOLD or name in self.requested:
+        if role is not storereaders.Role.TOLD or name in self.requested:
             return False
-        return self.polling.has_read(name) and self.polling.is_steady(now)
+        return self.polling.has_read(name) and self.polling.is_stable(now)
 
     def start_call(self, name):
         """Register the start of a call and return its long-poll seconds."""
         fleet = self.fleet()
         with self.lock:
-            wait = self.polling.wait(name, self.clock(), fleet)
+            wait = self.polling.begin_call(name, self.clock(), fleet)
             if name in self.requested:
                 self.requested.discard(name)
                 return 0.0
@@ -225,11 +225,11 @@
         If the readers of its domain have lost the store, a call that this
         router started before may hang until its timeout, so it is cancelled.
         """
-        if role is sharing.Role.ASKS:
+        if role is storereaders.Role.ASKS:
             with self.lock:
-                to_cancel = self.polling.told_of_loss(self.clock())
+                to_cancel = self.polling.outage_reported(self.clock())
             self._cancel(to_cancel)
-        if role is not sharing.Role.TOLD:
+        if role is not storereaders.Role.TOLD:
             self._wake(self.members)
 
     def read_now(self, names):
@@ -245,8 +245,8 @@
         then may come back, and each router must judge that by its own calls.
         """
         with self.lock:
-            is_steady = self.polling.is_steady(self.clock())
-        if is_steady and self.role() is sharing.Role.READS:
+            is_steady = self.polling.is_stable(self.clock())
+        if is_steady and self.role() is storereaders.Role.READS:
             self.publish(page, before, is_table)
 
     def apply_changes(self, name, changes):
@@ -289,7 +289,7 @@
         return self.members[name].position or 0
 
     def store_access(self, is_lost):
-        """Return the `sharing.Standing` of this router.
+        """Return the `storereaders.StoreAccess` of this router.
 
         Parameters
         ----------
@@ -297,11 +297,11 @@
             Whether the store has stopped answering it.
         """
         if is_lost:
-            return sharing.Standing.LOST
+            return storereaders.StoreAccess.LOST
         with self.lock:
-            if self.polling.is_any_in_trouble():
-                return sharing.Standing.UNSURE
-        return sharing.Standing.SERVED
+            if self.polling.is_any_failing():
+                return storereaders.StoreAccess.UNSURE
+        return storereaders.StoreAccess.SERVED
 
     def change_pause(self):
         """Return the seconds to pause after a change."""
@@ -323,7 +323,7 @@
     def suspect_outage(self):
         """Record a sign of a store outage, and restart waiting calls."""
         with self.lock:
-            to_cancel = self.polling.trouble(self.clock())
+            to_cancel = self.polling.outage_suspected(self.clock())
         self._cancel(to_cancel)
 
     def outage_reported(self, lost_at):
@@ -331,16 +331,16 @@
 
         A router that relies on readers has no call that could hang.
         """
-        if self.role() is sharing.Role.TOLD:
+        if self.role() is storereaders.Role.TOLD:
             return
         with self.lock:
-            to_cancel = self.polling.told_of_loss(lost_at)
+            to_cancel = self.polling.outage_reported(lost_at)
         self._cancel(to_cancel)
 
     def recovery_reported(self):
         """Record that the store answers another router again."""
         with self.lock:
-            to_wake = self.polling.returned(self.clock())
+            to_wake = self.polling.recovery_reported(self.clock())
         self._wake(to_wake)
 
     def _wake(self, names):
@@ -349,7 +349,7 @@
 
     def _cancel(self, names):
         for name in names:
-            self.members[name].source.end_call()
+            self.members[name].source.cancel_call()
 
 
 def _discard(page, before, is_table):
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -13,12 +13,12 @@
 from ibisring_gateway import changes as changes_module
 from ibisring_gateway import directory
 from ibisring_gateway import peers as peers_module
-from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import gossipschedule
+from ibisring_policy.gateway import layerorders
+from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import ratelimits
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_policy.gateway import suspects as suspects_module
-from ibisring_policy.gateway import telling
 from ibisring_records import exceptions
 from ibisring_records import routing
 from ibisring_router import logs
@@ -52,7 +52,7 @@
         Version of the routing table in force at the sender.
     slowdowns : dict of str to float
         Slowdown factors of the engines that the sender found slow.
-    store_status : ordering.StoreTouch
+    store_status : layerorders.StoreStatus
         The sender's connection to the store.
     term : int
         Highest lease term known to the sender.
@@ -65,7 +65,7 @@
         The sender's failure domain.
     store_lost_ms : int or None
         Milliseconds since the sender last lost the store, None if never.
-    store_access : sharing.Standing
+    store_access : storereaders.StoreAccess
         Whether the store answers the sender's calls.
     router_counts : dict of str to (int, int)
         Running routers by failure domain, and milliseconds since a router of
@@ -97,13 +97,13 @@
     endpoints_version: int = 0
     table_version: int = 0
     slowdowns: dict[str, float] = {}
-    store_status: ordering.StoreTouch = ordering.StoreTouch.FOLLOWED
+    store_status: layerorders.StoreStatus = layerorders.StoreStatus.FOLLOWING
     term: int = 0
     holdings: dict[str, tuple[int, int, int]] = {}
     refusing: list[str] = []
     domain: str = ''
     store_lost_ms: int | None = None
-    store_access: sharing.Standing = sharing.Standing.UNSURE
+    store_access: storereaders.StoreAccess = storereaders.StoreAccess.UNSURE
     router_counts: dict[str, tuple[int, int]] = {}
     position: int = 0
     table_position: int = 0
@@ -113,8 +113,8 @@
     reads_store: bool = False
     loads: dict[str, tuple[int, int]] = {}
     recovered: list[str] = []
-    suspects: list[suspects_module.Word] = []
-    limits: dict[str, ratelimits.Word] = {}
+    suspects: list[suspects_module.SuspectUpdate] = []
+    limits: dict[str, ratelimits.LimitUpdate] = {}
 
 
 # Fields whose change others act upon at once, unlike load and router names.
@@ -172,9 +172,9 @@
         self.rng = random.Random()
         self.bytes_sent = 0
         self.bytes_received = 0
-        self.schedule = telling.make_pace()
-        self.urgent_schedule = telling.make_pace()
-        self.rotation = telling.make_rounds(self.rng)
+        self.schedule = gossipschedule.make_send_schedule()
+        self.urgent_schedule = gossipschedule.make_send_schedule()
+        self.rotation = gossipschedule.make_peer_rotation(self.rng)
         peers.followers.publish = self.send_changes
         self.stopped = threading.Event()
         self.wake = threading.Event()
@@ -203,7 +203,9 @@
     def run(self):
         """Send messages as they fall due, until stopped."""
         while not self.stopped.is_set():
-            self.wake.wait(telling.TICK * self.rng.uniform(0.8, 1.2))
+            self.wake.wait(
+                gossipschedule.CHECK_SECONDS * self.rng.uniform(0.8, 1.2)
+            )
             self.wake.clear()
             try:
                 self._send()
@@ -213,16 +215,16 @@
     def _message(self, now):
         """Build the message that describes this router now."""
         with self.view.lock:
-            book = self.view.book
-            tokens = {n: int(each) for n, each in book.own().items()}
-            unreachable = book.lately_dead(now)
-            slowdowns = book.slow(now)
+            book = self.view.estimates
+            tokens = {n: int(each) for n, each in book.own_tokens().items()}
+            unreachable = book.recently_dead(now)
+            slowdowns = book.recently_slow(now)
             refusing = book.refusing(now)
-            loads = book.loads_to_tell(now)
-            recovered = book.lately_back(now)
+            loads = book.loads_to_send(now)
+            recovered = book.recently_recovered(now)
             share = self._repeat_share()
-            suspects = self.view.suspects.to_tell(now, self.rng, share)
-            limits = self.view.limits.to_tell(now, self.rng, share)
+            suspects = self.view.suspects.updates_to_send(now, self.rng, share)
+            limits = self.view.limits.updates_to_send(now, self.rng, share)
         snapshot = self.view.snapshot
         read_at = min(snapshot.table_read_at, snapshot.endpoints_read_at)
         own = self.peers.own_store_access()
@@ -239,15 +241,15 @@
             refusing=refusing,
             domain=self.settings.failure_domain,
             store_lost_ms=self._store_lost_ms(now),
-            store_access=own.standing,
-            router_counts=self.peers.peer_reports.counts_to_tell(now),
+            store_access=own.store_access,
+            router_counts=self.peers.peer_reports.counts_to_send(now),
             # The version in force, not the one read: what was just read may
             # not be applied yet, and receivers would take it for known.
             position=snapshot.position,
             table_position=snapshot.table_position,
             age_ms=int((now - read_at) * SECOND_MS),
             link=own.link,
-            reads_store=own.reads,
+            reads_store=own.reads_store,
             loads=loads,
             recovered=recovered,
             suspects=suspects,
@@ -258,13 +260,15 @@
         """Return the share of messages that repeat old suspects and limits.
 
         Each router of the domain still receives every old entry from a few
-        of the others (`telling.OLD_TELLERS`) per round.
+        of the others (`gossipschedule.OLD_UPDATE_SENDERS`) per round.
         """
         others = self.peers.others()
         local_count = sum(
             1 for each in others if self.peers.is_local(each.name)
         )
-        return min(1.0, telling.OLD_TELLERS / max(1, local_count))
+        return min(
+            1.0, gossipschedule.OLD_UPDATE_SENDERS / max(1, local_count)
+        )
 
     def _send(self):
         now = self.view.clock()
@@ -276,15 +280,17 @@
             lost_at,
             suspects.changes,
             limits.changes,
-            limits.wanted(now),
+            limits.endpoints_in_demand(now),
         ]
         rows = {row.name: row for row in self.peers.others()}
-        reach = min(1.0, telling.ALL_AT_ONCE / max(1, len(rows)))
-        fullest = self.view.book.fullest
+        reach = min(
+            1.0, gossipschedule.MAX_BROADCAST_PEERS / max(1, len(rows))
+        )
+        memory_use = self.view.estimates.max_memory_use
         urgent = [getattr(message, name) for name in _URGENT_FIELDS]
-        urgent += [lost_at, suspects.found, limits.changes]
-        is_urgent = self.urgent_schedule.is_fresh(now, urgent)
-        if not self.schedule.is_due(now, prompt, fullest, reach):
+        urgent += [lost_at, suspects.local_changes, limits.changes]
+        is_urgent = self.urgent_schedule.has_recent_change(now, urgent)
+        if not self.schedule.is_due(now, prompt, memory_use, reach):
             return
         local_names = [name for name in rows if self.peers.is_local(name)]
         remote_names = [name for name in rows if not self.peers.is_local(name)]
@@ -336,7 +342,7 @@
         local_rows = [
             r for r in self.peers.others() if self.peers.is_local(r.name)
         ]
-        if len(local_rows) < sharing.READERS:
+        if len(local_rows) < storereaders.READERS_PER_DOMAIN:
             return
         index = self.view.snapshot.index
         if is_table:
@@ -377,7 +383,7 @@
                 message = msgspec.msgpack.decode(data, type=Message)
             except OSError as error:
                 LOG.debug('receiving gossip failed: %s', error)
-                self.stopped.wait(telling.TICK)
+                self.stopped.wait(gossipschedule.CHECK_SECONDS)
                 continue
             except msgspec.MsgspecError as error:
                 LOG.warning('unreadable gossip message: %s', error)
@@ -395,7 +401,7 @@
         """
         now = self.view.clock()
         with self.view.lock:
-            self.view.book.take_told(
+            self.view.estimates.merge_gossip(
                 message.router,
                 message.tokens,
                 message.unreachable,
@@ -403,14 +409,14 @@
                 message.slowdowns,
                 message.refusing,
             )
-            self.view.book.take_loads(message.loads, now)
-            self.view.book.take_back(message.recovered, now)
+            self.view.estimates.merge_loads(message.loads, now)
+            self.view.estimates.merge_recovered(message.recovered, now)
         self._apply_suspects(message, now)
         self._apply_limits(message, now)
         self._record_peer(message, f'{source[0]}:{source[1]}', now)
         if message.changes:
             self._apply_changes(message)
-        elif message.store_access is sharing.Standing.SERVED:
+        elif message.store_access is storereaders.StoreAccess.SERVED:
             self._apply_confirmation(message)
         self.view.term = max(self.view.term, message.term)
         for name, (started, first, end) in message.holdings.items():
@@ -432,8 +438,10 @@
     def _apply_suspects(self, message, now):
         suspects = self.view.suspects
         with self.view.lock:
-            added = suspects.take(message.suspects, now)
-            crashes = [suspects.verdict(digest, now).ends for digest in added]
+            added = suspects.receive_updates(message.suspects, now)
+            crashes = [
+                suspects.verdict(digest, now).crashes for digest in added
+            ]
         for digest, count in zip(added, crashes):
             logs.event(
                 LOG,
@@ -451,7 +459,7 @@
             if name in endpoints
         }
         with self.view.lock:
-            updated = self.view.limits.take_told(
+            updated = self.view.limits.receive_updates(
                 message.router, message.domain, message.limits, now, starts
             )
         for name in updated:
@@ -465,12 +473,12 @@
 
     def _record_peer(self, message, address, now):
         """Record that a router runs, and the router counts that it sent."""
-        report = hearing.Heard(
+        report = peerreports.PeerReport(
             name=message.router,
             domain=message.domain,
-            at=now,
-            touch=message.store_status,
-            neighbour=sharing.Neighbour(
+            received_at=now,
+            store_status=message.store_status,
+            neighbour=storereaders.Neighbour(
                 message.router,
                 message.store_access,
                 message.link,
@@ -478,7 +486,7 @@
             ),
         )
         self.peers.receive_report(report, address, message.store_lost_ms)
-        self.peers.peer_reports.take_counts(
+        self.peers.peer_reports.receive_counts(
             message.router_counts, message.domain, now
         )
 
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -12,18 +12,18 @@
 from ibisring_gateway import directory as directory_module
 from ibisring_gateway import ports
 from ibisring_policy.gateway import catchup
-from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
+from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_records import exceptions
 from ibisring_records import routing
 from ibisring_router import logs
 from ibisring_web import calls
 
 LOG = logging.getLogger(__name__)
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWING = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 SECOND_MS = 1000.0
 STATE_PATH = '/state'
 TABLE = 'table'
@@ -87,10 +87,10 @@
         self.stopped = threading.Event()
         self.next_list_at = 0.0
         self.is_row_written = False
-        self.peer_reports = hearing.make_hearing(
+        self.peer_reports = peerreports.make_peer_reports(
             settings.router_id, settings.failure_domain, view.clock()
         )
-        self.current_role = sharing.Role.TOLD
+        self.current_role = storereaders.Role.TOLD
         self.catchup = catchup.make_catchup()
         self.thread = threading.Thread(target=self.run, daemon=True)
 
@@ -125,16 +125,18 @@
 
         Parameters
         ----------
-        report : hearing.Heard
+        report : peerreports.PeerReport
         address : str
         lost_ms : int or None
             Milliseconds since it last lost the store, None if never.
         """
-        before = self.peer_reports.take(report)
+        before = self.peer_reports.receive(report)
         if lost_ms is not None:
-            self.followers.outage_reported(report.at - lost_ms / SECOND_MS)
-        was_lost = before is not None and before.touch is LOST
-        if was_lost and report.touch is FOLLOWED:
+            self.followers.outage_reported(
+                report.received_at - lost_ms / SECOND_MS
+            )
+        was_lost = before is not None and before.store_status is LOST
+        if was_lost and report.store_status is FOLLOWING:
             self.followers.recovery_reported()
         row = self.rows.get(report.name)
         if row is None or row.address != address:
@@ -144,7 +146,7 @@
 
     def note_newer(self, name, now, versions=None):
         """Record that another router has newer state."""
-        self.catchup.behind(name, now, self.is_local(name), versions)
+        self.catchup.peer_is_ahead(name, now, self.is_local(name), versions)
 
     def is_local(self, name):
         """Whether a router is in this one's failure domain.
@@ -157,21 +159,21 @@
 
     def running_count(self, now):
         """Return the estimated number of running routers with this one."""
-        return sum(self.peer_reports.counts(now).values())
+        return sum(self.peer_reports.router_counts(now).values())
 
     def own_store_access(self):
         """Return this router's store status as sent to other routers.
 
         Returns
         -------
-        sharing.Neighbour
+        storereaders.Neighbour
         """
         is_lost = self.view.store_lost_at is not None
-        return sharing.Neighbour(
+        return storereaders.Neighbour(
             self.settings.router_id,
             self.followers.store_access(is_lost),
             self.settings.link,
-            self.current_role is not sharing.Role.TOLD,
+            self.current_role is not storereaders.Role.TOLD,
         )
 
     def role(self):
@@ -179,15 +181,18 @@
 
         Returns
         -------
-        sharing.Role
+        storereaders.Role
         """
         return self.current_role
 
     def _update_role(self, now):
         neighbours = self.peer_reports.neighbours(now)
-        role = sharing.role(self.own_store_access(), neighbours)
-        if now - self.peer_reports.begun_at < sharing.LISTEN_FIRST:
-            role = sharing.Role.TOLD
+        role = storereaders.choose_role(self.own_store_access(), neighbours)
+        if (
+            now - self.peer_reports.started_at
+            < storereaders.STARTUP_LISTEN_SECONDS
+        ):
+            role = storereaders.Role.TOLD
         if role is not self.current_role:
             self.current_role = role
             logs.event(LOG, 'store_role', role=role.name.lower())
@@ -201,24 +206,26 @@
         polling.Fleet
         """
         now = self.view.clock()
-        counts = self.peer_reports.counts(now)
-        if self.current_role is sharing.Role.ASKS:
+        counts = self.peer_reports.router_counts(now)
+        if self.current_role is storereaders.Role.ASKS:
             running = sum(counts.values())
             rank = min(self.peer_reports.rank(now), running - 1)
             return polling.Fleet(running, rank, running)
-        before = sharing.readers(
+        before = storereaders.preferred_readers(
             self.own_store_access(), self.peer_reports.neighbours(now)
         )
-        return sharing.place(self.settings.failure_domain, len(before), counts)
+        return storereaders.fleet_position(
+            self.settings.failure_domain, len(before), counts
+        )
 
     def store_statuses(self, now):
         """Return the store status of each router heard from lately.
 
         Returns
         -------
-        dict of str to ordering.StoreTouch
+        dict of str to layerorders.StoreStatus
         """
-        return self.peer_reports.touches(now)
+        return self.peer_reports.store_statuses(now)
 
     def max_routers(self, now):
         """Return an upper estimate of the number of running routers.
@@ -246,17 +253,17 @@
         snapshot = self.view.snapshot
         position = max(snapshot.newest_version, snapshot.position)
         progress.caught_up({TABLE: snapshot.version, ENDPOINTS: position})
-        is_told = self.current_role is sharing.Role.TOLD
+        is_follower = self.current_role is storereaders.Role.TOLD
         callers = self.polling_slot().callers
-        if progress.is_due(now, self._age_seconds(now), callers, is_told):
-            queries_store = is_told and not progress.asked_store
-            progress.asked(now, queries_store)
+        if progress.is_due(now, self._age_seconds(now), callers, is_follower):
+            queries_store = is_follower and not progress.queried_store
+            progress.queried(now, queries_store)
             logs.event(
                 LOG,
                 'catching_up',
                 asks='store' if queries_store else 'router',
-                ahead=progress.ahead,
-                wanted=progress.wanted,
+                ahead=progress.newest_peer,
+                wanted=progress.wanted_versions,
                 table=snapshot.version,
                 endpoints=position,
                 age_ms=round(self._age_seconds(now) * SECOND_MS),
@@ -267,7 +274,7 @@
                 self.followers.read_now((TABLE, ENDPOINTS))
             else:
                 self._fetch_state()
-        progress.forget(now, is_told)
+        progress.expire(now, is_follower)
 
     def _age_seconds(self, now):
         """Return the seconds since the older of both tables was read."""
--- a/packages/gateway/ibisring_gateway/process.py
+++ b/packages/gateway/ibisring_gateway/process.py
@@ -62,9 +62,9 @@
         self.view = view_module.make_view(
             settings.failure_domain, name=settings.router_id
         )
-        self.connections = upstream.make_connections()
+        self.connections = upstream.make_connection_pool()
         self.watcher = watching.make_watcher(self._on_silence)
-        self.window = attempts.make_window(
+        self.window = attempts.make_retry_budget(
             settings.repeat_window_s,
             settings.repeat_ratio * attempts.RATIO_SHARE,
             settings.repeat_slack * attempts.SLACK_SHARE,
@@ -263,7 +263,7 @@
         while True:
             time.sleep(END_TICK)
             elapsed = time.monotonic() - begun
-            if shutdown.may_end(
+            if shutdown.may_exit(
                 elapsed, self.forwarder.active, self.settings.grace_s
             ):
                 break
--- a/packages/gateway/ibisring_gateway/selecting.py
+++ b/packages/gateway/ibisring_gateway/selecting.py
@@ -7,7 +7,7 @@
 
 from ibisring_gateway import turns
 from ibisring_policy.gateway import chains
-from ibisring_policy.gateway import loadbook
+from ibisring_policy.gateway import estimates
 from ibisring_policy.gateway import shortage
 import msgspec
 
@@ -20,8 +20,8 @@
 # Between events, a stage is suspected after this many usual gaps, within
 # these bounds in seconds; callers count a stream as late after 0.2.
 GAP_FACTOR = 2.0
-LEAST_GAP = 0.06
-MOST_GAP = 0.09
+MIN_EVENT_TIMEOUT = 0.06
+MAX_EVENT_TIMEOUT = 0.09
 # Share of the memory reserved for requests that they are taken to use when
 # no chain has room otherwise.
 SQUEEZE = 0.9
@@ -108,7 +108,7 @@
         at_risk = self._at_risk(job)
         left = [e for e in left if e.id not in at_risk] or left
         with self.view.lock:
-            ranked = self.view.book.rank_plain(left, now, self.rng.random)
+            ranked = self.view.estimates.rank(left, now, self.rng.random)
         return Choice(ranked[0])
 
     def _noise(self):
@@ -118,7 +118,7 @@
         model = job.service.model
         demand = self._demand(job)
         heads = None
-        if job.progress.sent_to >= job.progress.most_endpoints:
+        if job.progress.sent_to >= job.progress.max_endpoints:
             # No further endpoint may get the request, but these may again.
             heads = job.sent_to
         if job.limited:
@@ -181,7 +181,11 @@
             if each.id not in avoid
         ]
         with self.view.lock:
-            firsts.sort(key=lambda name: self.view.book.heads(name, now))
+            firsts.sort(
+                key=lambda name: self.view.estimates.first_stage_load(
+                    name, now
+                )
+            )
         return firsts[: math.ceil(len(firsts) / 2)]
 
     def _demand(self, job):
@@ -199,19 +203,19 @@
             return []
         endpoints = self.view.snapshot.by_service.get(service.name, ())
         with self.view.lock:
-            book = self.view.book
+            book = self.view.estimates
             holders = book.holders(endpoints, service.model, now, job.avoid)
-            left_out = book.left_out(endpoints, now, job.avoid)
+            left_out = book.excluded_ranges(endpoints, now, job.avoid)
         found = shortage.find(
-            holders, left_out, self._demand(job), chains.FULL / SQUEEZE
+            holders, left_out, self._demand(job), chains.FULL_SHARE / SQUEEZE
         )
-        return shortage.text(found)
+        return shortage.describe(found)
 
     def _find(self, endpoints, model, now, demand, heads, avoid):
         with self.view.lock:
-            holders = self.view.book.holders(endpoints, model, now, avoid)
-            self.view.book.note_fullest(holders)
-        chains.vary_heads(holders, self.rng.random)
+            holders = self.view.estimates.holders(endpoints, model, now, avoid)
+            self.view.estimates.note_memory_use(holders)
+        chains.jitter_slot_use(holders, self.rng.random)
         found = chains.choose(
             holders, demand, model.layers, self._noise, heads
         )
@@ -227,10 +231,10 @@
         """
         for holder in holders:
             holder.used *= SQUEEZE
-            holder.heads *= SQUEEZE_HEADS
+            holder.slot_use *= SQUEEZE_HEADS
         return chains.choose(holders, demand, model.layers, self._noise, heads)
 
-    def repair(self, attempt, lost, now):
+    def replace_stages(self, attempt, lost, now):
         """Give stages for an attempt without those that are lost.
 
         The first stage stays; the others keep what they run.
@@ -254,7 +258,7 @@
         kept = {s.endpoint for s in attempt.stages if s.endpoint not in lost}
         domains = self._domains(attempt)
         with self.view.lock:
-            holders = self.view.book.holders(
+            holders = self.view.estimates.holders(
                 endpoints, model, now, avoid=kept | set(lost)
             )
         # Reading a prompt through a stage in another domain would cross the
@@ -297,24 +301,24 @@
         """Count an attempt at its endpoints."""
         with self.view.lock:
             if attempt.stages:
-                self.view.book.reserve(attempt.stages, attempt.tokens)
+                self.view.estimates.reserve(attempt.stages, attempt.tokens)
             else:
-                self.view.book.of(attempt.endpoint.id).active += 1
+                self.view.estimates.get(attempt.endpoint.id).active += 1
 
     def release(self, attempt):
         """Take back what `reserve` counted."""
         with self.view.lock:
             if attempt.stages:
-                self.view.book.release(attempt.stages, attempt.tokens)
+                self.view.estimates.release(attempt.stages, attempt.tokens)
             else:
-                self.view.book.of(attempt.endpoint.id).active -= 1
+                self.view.estimates.get(attempt.endpoint.id).active -= 1
 
-    def move(self, attempt, stages):
+    def change_stages(self, attempt, stages):
         """Count an attempt at other stages from now on."""
         with self.view.lock:
-            self.view.book.release(attempt.stages, attempt.tokens)
+            self.view.estimates.release(attempt.stages, attempt.tokens)
             attempt.stages = stages
-            self.view.book.reserve(attempt.stages, attempt.tokens)
+            self.view.estimates.reserve(attempt.stages, attempt.tokens)
 
     def first_event(self, job, attempt):
         """Give the seconds after which a first event is overdue."""
@@ -332,21 +336,24 @@
         attempt.events += 1
         if attempt.events == 1 and attempt.stages:
             with self.view.lock:
-                self.view.book.accepted(
+                self.view.estimates.note_accepted(
                     [s.endpoint for s in attempt.stages], attempt.sent_at
                 )
         if attempt.events > 1:
             weight = 0.3 if attempt.events > 2 else 1.0
             attempt.mean_gap += weight * (gap - attempt.mean_gap)
-        wait = max(LEAST_GAP, attempt.mean_gap * GAP_FACTOR)
+        wait = max(MIN_EVENT_TIMEOUT, attempt.mean_gap * GAP_FACTOR)
         attempt.check_at = now + min(
-            wait, max(MOST_GAP, 1.5 * attempt.mean_gap)
+            wait, max(MAX_EVENT_TIMEOUT, 1.5 * attempt.mean_gap)
         )
 
     def culprit(self, attempt, answer):
         """Give the id of the endpoint that a refusal is about."""
         for stage in attempt.stages:
-            if answer.culprit and stage.address == answer.culprit:
+            if (
+                answer.refusing_address
+                and stage.address == answer.refusing_address
+            ):
                 return stage.endpoint
         return attempt.endpoint.id
 
@@ -358,12 +365,16 @@
         are being given up.
         """
         if answer.wrong_endpoint and not attempt.stages:
-            self.view.book.unreachable(culprit, now)
+            self.view.estimates.note_unreachable(culprit, now)
         elif attempt.stages and now - attempt.last_event_at > STALLED:
-            self.view.book.unreachable(culprit, now)
+            self.view.estimates.note_unreachable(culprit, now)
         else:
-            has_memory = self._used(attempt, culprit) < loadbook.HAS_MEMORY
-            self.view.book.full(culprit, now, has_memory=has_memory)
+            has_memory = (
+                self._used(attempt, culprit) < estimates.MEMORY_AVAILABLE_SHARE
+            )
+            self.view.estimates.note_refusal(
+                culprit, now, has_memory=has_memory
+            )
 
     def _used(self, attempt, name):
         """Give the share of an engine's memory that is believed taken."""
@@ -373,9 +384,9 @@
         if service.model is None or endpoint is None:
             return 1.0
         now = self.view.clock()
-        book = self.view.book
+        book = self.view.estimates
         for holder in book.holders([endpoint], service.model, now):
-            return holder.used / holder.room if holder.room else 1.0
+            return holder.used / holder.capacity if holder.capacity else 1.0
         return 1.0
 
     def retry_after(self, service):
@@ -390,14 +401,14 @@
             return LEAST_RETRY
         return MEAN_STREAM * (0.4 + 0.4 * self.rng.random())
 
-    def has_other(self, attempt, now):
+    def has_alternative(self, attempt, now):
         """Say whether another first engine has room for an attempt."""
         snapshot = self.view.snapshot
         service = attempt.endpoint.service
         model = snapshot.index.services[service].model
         endpoints = snapshot.by_service.get(service, ())
         with self.view.lock:
-            holders = self.view.book.holders(
+            holders = self.view.estimates.holders(
                 endpoints, model, now, (attempt.endpoint.id,)
             )
         demand = chains.Demand(
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -26,7 +26,7 @@
     ----------
     view : view.View
     codec : ports.Codec
-    connections : upstream.Connections
+    connections : upstream.ConnectionPool
     selector : selecting.Selector
     screen : screening.Screen
 
@@ -55,7 +55,7 @@
 
         Returns
         -------
-        attempts.End or None
+        attempts.Result or None
             None once the caller has its final answer.
         """
         endpoint = attempt.endpoint
@@ -66,9 +66,9 @@
         except upstream.Failed as error:
             return self._not_reached(job, attempt, error)
         attempt.socket = conn.sock
-        if attempt.end is not None:
+        if attempt.result is not None:
             conn.close()
-            return attempt.end
+            return attempt.result
         self._set_patience(job, attempt)
         if endpoint.id not in job.sent_to:
             job.sent_to.append(endpoint.id)
@@ -111,7 +111,7 @@
         name = attempt.endpoint.id
         job.avoid.add(name)
         with self.view.lock:
-            self.view.book.unreachable(name, self.clock())
+            self.view.estimates.note_unreachable(name, self.clock())
         logs.event(
             LOG,
             'endpoint_unreachable',
@@ -120,16 +120,16 @@
             address=attempt.endpoint.address,
             why=str(error),
         )
-        return attempt.end or attempts.End.NOT_SENT
+        return attempt.result or attempts.Result.NOT_SENT
 
     def _lost(self, job, attempt, error):
         """Sort a failure after the request was written."""
         job.progress.may_have_run = True
         has_ended = self.screen.lost(job, attempt)
-        if attempt.end is None or attempt.end is attempts.End.SILENT:
+        if attempt.result is None or attempt.result is attempts.Result.SILENT:
             job.avoid.add(attempt.endpoint.id)
             with self.view.lock:
-                self.view.book.answered(
+                self.view.estimates.note_response(
                     attempt.endpoint.id, True, self.clock()
                 )
         logs.event(
@@ -138,13 +138,13 @@
             id=job.request.id,
             digest=job.digest.hex(),
             endpoint=attempt.endpoint.id,
-            end=attempt.end.value if attempt.end else None,
+            end=attempt.result.value if attempt.result else None,
             ended=has_ended,
             ran_ms=round((self.clock() - attempt.sent_at) * SECOND_MS),
             events=attempt.events,
             why=str(error),
         )
-        return attempt.end or attempts.End.LOST
+        return attempt.result or attempts.Result.LOST
 
     def _receive(self, job, attempt, conn, response):
         answer = self.codec.decode_answer(response.status, response.headers)
@@ -155,9 +155,9 @@
             conn.close()
             return self._lost(job, attempt, 'answer to another request')
         with self.view.lock:
-            self.view.book.reached(name, now)
+            self.view.estimates.note_reachable(name, now)
             if answer.load is not None:
-                self.view.book.report(name, answer.load, now)
+                self.view.estimates.note_load(name, answer.load, now)
         self._note_limit(attempt, answer, now)
         if answer.refused:
             response.drain_conn()
@@ -178,7 +178,7 @@
             end = self._relay_stream(job, attempt, response, answer)
         else:
             end = self._relay_whole(job, attempt, response, answer)
-        if end is None and answer.whole and attempt.end is None:
+        if end is None and answer.delimited and attempt.result is None:
             self.connections.give_back(attempt.endpoint, conn)
         else:
             conn.close()
@@ -191,7 +191,7 @@
         names limits.
         """
         endpoint = attempt.endpoint
-        if answer.limit_damaged:
+        if answer.limit_invalid:
             logs.event(LOG, 'limit_unreadable', endpoint=endpoint.id)
             return
         if answer.wrong_endpoint or (answer.refused and answer.limit is None):
@@ -199,7 +199,7 @@
         with self.view.lock:
             limits = self.view.limits
             before = limits.rate(endpoint.id)
-            is_news = limits.said(
+            is_news = limits.record_rate(
                 endpoint.id,
                 endpoint.started,
                 answer.limit,
@@ -219,7 +219,7 @@
     def _refused(self, job, attempt, answer):
         """The endpoint, or a stage behind it, did not run the request."""
         culprit = self.selector.culprit(attempt, answer)
-        job.progress.refused += 1
+        job.progress.refusals += 1
         job.avoid.add(culprit)
         with self.view.lock:
             self.selector.blame(attempt, culprit, answer, self.clock())
@@ -232,7 +232,7 @@
             status=answer.status,
             load=answer.load,
         )
-        return attempts.End.REFUSED
+        return attempts.Result.REFUSED
 
     def _relay_whole(self, job, attempt, response, answer):
         """Pass a plain answer on once it is whole."""
@@ -249,17 +249,19 @@
                     raise upstream.Failed('the answer is too large', True)
         except upstream.Failed as error:
             return self._lost(job, attempt, error)
-        if attempt.end is not None:
+        if attempt.result is not None:
             return self._lost(job, attempt, 'broken off')
         if answer.length is not None and answer.length != size:
             return self._lost(job, attempt, 'short answer')
         self.screen.answered(job)
         failed = answer.status >= 500
         with self.view.lock:
-            self.view.book.answered(attempt.endpoint.id, failed, self.clock())
+            self.view.estimates.note_response(
+                attempt.endpoint.id, failed, self.clock()
+            )
         if failed and self._may_try_again(job):
             job.avoid.add(attempt.endpoint.id)
-            return attempts.End.LOST
+            return attempts.Result.LOST
         job.answer = answer
         job.piece_came(self.clock())
         job.exchange.answer(answer.status, answer.headers, b''.join(pieces))
@@ -271,8 +273,9 @@
         return (
             progress.repeatable
             and not job.exchange.begun
-            and progress.sent_to < progress.most_endpoints
-            and job.deadline - self.clock() > 2 * attempts.LEAST_TIME
+            and progress.sent_to < progress.max_endpoints
+            and job.deadline - self.clock()
+            > 2 * attempts.MIN_TIME_LEFT_SECONDS
         )
 
     def _relay_stream(self, job, attempt, response, answer):
@@ -297,10 +300,12 @@
                 exchange.write(whole)
         except (upstream.Failed, events.Damaged) as error:
             return self._lost(job, attempt, error)
-        if attempt.end is not None:
+        if attempt.result is not None:
             return self._lost(job, attempt, 'broken off')
         with self.view.lock:
-            self.view.book.answered(attempt.endpoint.id, False, self.clock())
+            self.view.estimates.note_response(
+                attempt.endpoint.id, False, self.clock()
+            )
         if not exchange.begun:
             exchange.begin(answer.status, _streamed(answer.headers))
         exchange.write(job.splitter.rest)
--- a/packages/gateway/ibisring_gateway/tests/test_changes.py
+++ b/packages/gateway/ibisring_gateway/tests/test_changes.py
@@ -14,14 +14,14 @@
 
 def test_endpoint_changes_round_trip():
     x, y = build.endpoint('x'), build.endpoint('y')
-    page = ports.Page(9, [x, ports.Gone('x'), y, ports.Gone('z')], 8)
+    page = ports.Page(9, [x, ports.Removed('x'), y, ports.Removed('z')], 8)
     received = _round_trip(changes.endpoint_changes(page, 5))
     assert (received.before, received.position, received.newest_version) == (
         5,
         9,
         8,
     )
-    assert received.items(None) == [y, ports.Gone('x'), ports.Gone('z')]
+    assert received.items(None) == [y, ports.Removed('x'), ports.Removed('z')]
 
 
 def test_table_changes_round_trip():
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -16,7 +16,7 @@
     actor = directory.Directory(
         view,
         builders.Metrics(),
-        upstream.make_connections(),
+        upstream.make_connection_pool(),
         lambda: changes.append(view.snapshot),
         lambda table: None,
     )
@@ -76,7 +76,7 @@
     actor, view, _ = _make_directory()
     both = [build.endpoint('x'), build.endpoint('y')]
     _read_endpoints(actor, both, position=5)
-    _read_endpoints(actor, [ports.Gone('x')], whole=False, position=6)
+    _read_endpoints(actor, [ports.Removed('x')], whole=False, position=6)
     _read_endpoints(actor, both, position=5, origin='router r2')
     assert set(view.snapshot.endpoints) == {'y'}
     _read_endpoints(actor, [], position=7, origin='router r2')
@@ -98,7 +98,7 @@
     _read_endpoints(actor, [leaving], position=6, origin='router r2')
     _read_endpoints(actor, [ready], whole, position=5)
     assert view.snapshot.endpoints['x'].state is routing.State.DRAINING
-    gone = [ports.Gone('x')]
+    gone = [ports.Removed('x')]
     _read_endpoints(actor, gone, whole=False, position=7)
     assert view.snapshot.endpoints == {}
 
@@ -106,10 +106,10 @@
 def test_restarted_engine_counts_as_alive():
     actor, view, _ = _make_directory()
     _read_endpoints(actor, [build.held_endpoint('x', 0, 8, started=1)])
-    view.book.unreachable('x', 10.0)
+    view.estimates.note_unreachable('x', 10.0)
     restarted = build.held_endpoint('x', 0, 8, started=2)
     _read_endpoints(actor, [restarted], whole=False, position=2)
-    assert not view.book.is_dead('x')
+    assert not view.estimates.is_dead('x')
 
 
 def test_outage_does_not_empty_the_list():
@@ -157,7 +157,7 @@
     view.clock = clock
     _read_endpoints(actor, [build.endpoint('x'), build.endpoint('y')])
     actor.on_read_failed(directory.ReadFailed('no answer'))
-    _read_endpoints(actor, [ports.Gone('x')], whole=False, position=2)
+    _read_endpoints(actor, [ports.Removed('x')], whole=False, position=2)
     clock.now += 1.0
     actor.on_tick(directory.Tick())
     assert 'x' in view.snapshot.endpoints
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -42,7 +42,7 @@
             _engine('t', 16, 24),
         ]
         self.endpoints = [*self.chain, *spares]
-        self.view = builders.view_of(self.endpoints, table)
+        self.view = builders.make_view(self.endpoints, table)
         self.watcher = _Watcher()
         self.selector = selecting.make_selector(self.view)
         self.handler = doctor_module.make_stall_handler(
@@ -77,7 +77,7 @@
         fields.update(changes)
         found = dict(self.view.snapshot.endpoints)
         found[name] = routing.Endpoint(**fields)
-        self.view.snapshot = builders.view_of(list(found.values())).snapshot
+        self.view.snapshot = builders.make_view(list(found.values())).snapshot
 
     def settle(self):
         """Wait for the handler's threads."""
@@ -96,21 +96,21 @@
 
 
 def test_lost_stage_is_replaced_behind_the_same_first_stage(scenario):
-    scenario.engines.dead.add('m:1')
+    scenario.engines.unreachable.add('m:1')
     scenario.handler.handle(scenario.attempt)
     scenario.settle()
-    assert scenario.attempt.end is None
+    assert scenario.attempt.result is None
     assert _names(scenario.attempt.stages) == ['h', 'm2', 't']
-    assert scenario.engines.moved[0][:2] == ('h', 'r1')
-    assert scenario.view.book.is_dead('m')
+    assert scenario.engines.rerouted[0][:2] == ('h', 'r1')
+    assert scenario.view.estimates.is_dead('m')
 
 
 def test_lost_first_stage_aborts_the_attempt(scenario):
-    scenario.engines.dead.add('h:1')
+    scenario.engines.unreachable.add('h:1')
     scenario.handler.handle(scenario.attempt)
     scenario.settle()
-    assert scenario.attempt.end is attempts.End.SILENT
-    assert scenario.engines.moved == []
+    assert scenario.attempt.result is attempts.Result.SILENT
+    assert scenario.engines.rerouted == []
 
 
 def test_stream_is_not_aborted_while_no_other_chain_has_room():
@@ -119,10 +119,10 @@
     A stage is lost and no other engine holds its layers.
     """
     scenario = Scenario()
-    scenario.engines.dead.add('m:1')
+    scenario.engines.unreachable.add('m:1')
     scenario.handler.handle(scenario.attempt)
     scenario.settle()
-    assert scenario.attempt.end is None
+    assert scenario.attempt.result is None
     assert scenario.attempt.check_at > time.monotonic()
     scenario.handler.stop()
 
@@ -132,7 +132,7 @@
     other.last_event_at = time.monotonic()
     scenario.handler.handle(scenario.attempt)
     scenario.settle()
-    assert scenario.engines.asked == []
+    assert scenario.engines.queried == []
 
 
 def test_event_in_transit_does_not_prove_a_stage_alive(scenario):
@@ -142,7 +142,7 @@
     other requests.  They count as proof that all stages of their chains are
     alive, so the first check queries none, and the next is 0.1 s later.
     """
-    scenario.engines.dead.add('m:1')
+    scenario.engines.unreachable.add('m:1')
     scenario.attempt.mean_gap = 0.04
     scenario.attempt.last_event_at = time.monotonic() - 0.08
     other = scenario.new_attempt('r2')
@@ -158,23 +158,23 @@
     An engine dies and thirty requests fall silent together.  Their checks
     take all threads of a pool shared with the queries that they wait for.
     """
-    scenario.engines.dead.add('m:1')
+    scenario.engines.unreachable.add('m:1')
     others = [scenario.new_attempt(f'q{n}') for n in range(40)]
     for attempt in others:
         scenario.handler.handle(attempt)
     scenario.settle()
-    assert not scenario.view.book.is_dead('t')
-    assert scenario.engines.asked.count('t:1') <= 4
+    assert not scenario.view.estimates.is_dead('t')
+    assert scenario.engines.queried.count('t:1') <= 4
     moved = [a for a in others if _names(a.stages) == ['h', 'm2', 't']]
     assert len(moved) == len(others)
 
 
 def test_no_stage_counts_as_lost_if_all_fail_to_answer(scenario):
-    scenario.engines.dead.update(('h:1', 'm:1', 't:1'))
+    scenario.engines.unreachable.update(('h:1', 'm:1', 't:1'))
     scenario.handler.handle(scenario.attempt)
     scenario.settle()
-    assert not scenario.view.book.is_dead('m')
-    assert scenario.attempt.end is None
+    assert not scenario.view.estimates.is_dead('m')
+    assert scenario.attempt.result is None
 
 
 @pytest.mark.parametrize(
@@ -199,7 +199,7 @@
         _engine('m2', 8, 16, card='small'), _engine('t2', 16, 24, card='small')
     )
     scenario.replace('t', holding=None)
-    scenario.engines.dead.add('m:1')
+    scenario.engines.unreachable.add('m:1')
     scenario.handler.handle(scenario.attempt)
     scenario.settle()
     assert _names(scenario.attempt.stages) == ['h', 'm2', 't2']
@@ -219,7 +219,7 @@
         _engine('t2', 40, 80, card='big'),
     ]
     for spares, may_change_endpoint, end in (
-        (others, True, attempts.End.SILENT),
+        (others, True, attempts.Result.SILENT),
         (others, False, None),
         (others[1:], True, None),
     ):
@@ -230,7 +230,7 @@
         scenario.attempt.may_change_endpoint = may_change_endpoint
         scenario.handler.run_checks()
         scenario.settle()
-        assert scenario.attempt.end is end
+        assert scenario.attempt.result is end
         scenario.handler.stop()
 
 
@@ -252,11 +252,11 @@
 
 
 def test_unreachable_engine_is_probed_again(scenario):
-    scenario.view.book.unreachable('t', time.monotonic() - 10.0)
+    scenario.view.estimates.note_unreachable('t', time.monotonic() - 10.0)
     scenario.handler.run_checks()
     scenario.settle()
     scenario.handler.querier.pool.shutdown(wait=True)
-    assert not scenario.view.book.is_dead('t')
+    assert not scenario.view.estimates.is_dead('t')
 
 
 def test_engine_that_answers_late_recovers(scenario):
@@ -266,12 +266,12 @@
     moved off it, and the probe that would bring it back has the same timeout
     of 35 ms.
     """
-    scenario.engines.late['t:1'] = 0.05
-    scenario.view.book.unreachable('t', time.monotonic() - 10.0)
+    scenario.engines.delays['t:1'] = 0.05
+    scenario.view.estimates.note_unreachable('t', time.monotonic() - 10.0)
     scenario.handler.run_checks()
     scenario.settle()
     scenario.handler.querier.pool.shutdown(wait=True)
-    assert not scenario.view.book.is_dead('t')
+    assert not scenario.view.estimates.is_dead('t')
 
 
 def test_engines_that_answer_late_are_not_lost_again(scenario):
@@ -282,13 +282,13 @@
     stays at 35 ms however long answers take.
     """
     for name in ('h:1', 'm:1', 't:1', 'm2:1'):
-        scenario.engines.late[name] = 0.05
+        scenario.engines.delays[name] = 0.05
     now = time.monotonic()
     for name in ('h', 'm', 't', 'm2'):
-        scenario.view.book.unreachable(name, now - 10.0)
+        scenario.view.estimates.note_unreachable(name, now - 10.0)
     scenario.handler.run_checks()
     time.sleep(0.3)
-    assert scenario.handler.querier.timeout.limit > 0.05
+    assert scenario.handler.querier.timeout.seconds > 0.05
     scenario.handler.handle(scenario.attempt)
     scenario.settle()
-    assert not any(map(scenario.view.book.is_dead, ('h', 'm', 't', 'm2')))
+    assert not any(map(scenario.view.estimates.is_dead, ('h', 'm', 't', 'm2')))
--- a/packages/gateway/ibisring_gateway/tests/test_following.py
+++ b/packages/gateway/ibisring_gateway/tests/test_following.py
@@ -7,12 +7,12 @@
 from ibisring_gateway import ports
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_records import exceptions
 
 
 def _reader_role():
-    return sharing.Role.READS
+    return storereaders.Role.READS
 
 
 class _Source(ports.Source):
@@ -35,7 +35,7 @@
     def changes(self, position, wait):
         return self._answer(wait)
 
-    def end_call(self):
+    def cancel_call(self):
         self.cancelled += 1
 
 
@@ -66,7 +66,7 @@
     )
     table.read_once()
     assert not messages[-1].whole
-    assert table.source.calls == ['all', polling.CALL_EVERY, 0.0]
+    assert table.source.calls == ['all', polling.CALL_INTERVAL_SECONDS, 0.0]
 
 
 def test_failed_call_cancels_other_calls_that_may_hang():
@@ -89,17 +89,17 @@
     followers, messages = _followers()
     table = followers.members['table']
     table.read_once()
-    table.source.errors = [ports.CallEnded('a new one begins')]
+    table.source.errors = [ports.CallCancelled('a new one begins')]
     table._follow()
     assert len(messages) == 1
-    assert not followers.polling.in_trouble('table')
+    assert not followers.polling.is_failing('table')
 
 
 def test_expired_history_is_no_failure():
     followers, messages = _followers()
     table = followers.members['table']
     table.read_once()
-    table.source.errors = [ports.HistoryGone('too old')]
+    table.source.errors = [ports.HistoryExpired('too old')]
     table._follow()
     table._follow()
     assert table.source.calls[-1] == 'all' and len(messages) == 2
@@ -139,6 +139,6 @@
         follower.read_once()
     followers.start_call('table')
     followers.clock.now += 1.0
-    followers.role_changed(sharing.Role.ASKS)
+    followers.role_changed(storereaders.Role.ASKS)
     assert [f.source.cancelled for f in followers.members.values()] == [1, 0]
     assert followers.start_call('endpoints') == 0.0
--- a/packages/gateway/ibisring_gateway/tests/test_gossip.py
+++ b/packages/gateway/ibisring_gateway/tests/test_gossip.py
@@ -8,7 +8,7 @@
 from ibisring_gateway import settings as settings_module
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_policy.gateway import suspects
 
 
@@ -30,7 +30,7 @@
 
 
 def test_older_release_decodes_a_newer_message():
-    suspect = suspects.Word(b'12345678', {1: 5})
+    suspect = suspects.SuspectUpdate(b'12345678', {1: 5})
     message = gossip.Message(
         'r1',
         {'x': 5},
@@ -59,11 +59,14 @@
         _OlderMessage('a', {}, [], domain='d', store_status=2)
     )
     message = msgspec.msgpack.decode(data, type=gossip.Message)
-    neighbour = sharing.Neighbour(
+    neighbour = storereaders.Neighbour(
         message.router, message.store_access, message.link
     )
-    own = sharing.Neighbour('b', sharing.Standing.SERVED)
-    assert sharing.role(own, [neighbour] * 3) is sharing.Role.READS
+    own = storereaders.Neighbour('b', storereaders.StoreAccess.SERVED)
+    assert (
+        storereaders.choose_role(own, [neighbour] * 3)
+        is storereaders.Role.READS
+    )
 
 
 def _make_gossip(view):
@@ -78,7 +81,7 @@
         peer_port=0,
     )
     followers = following.make_followers(
-        polling.Fleet, lambda: sharing.Role.READS
+        polling.Fleet, lambda: storereaders.Role.READS
     )
     for name in (peers.TABLE, peers.ENDPOINTS):
         followers.add(name, None, name == peers.TABLE, [].append)
@@ -95,7 +98,7 @@
     position along with the old state.  Receivers conclude that nothing
     changed up to that position, and skip the change when it is sent.
     """
-    view = builders.view_of([])
+    view = builders.make_view([])
     sender = _make_gossip(view)
     for follower in sender.peers.followers.members.values():
         follower.position = view.snapshot.position + 100
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -11,30 +11,42 @@
 from ibisring_gateway import settings as settings_module
 from ibisring_gateway.tests import builders
 from ibisring_policy.gateway import catchup
-from ibisring_policy.gateway import hearing
-from ibisring_policy.gateway import ordering
+from ibisring_policy.gateway import layerorders
+from ibisring_policy.gateway import peerreports
 from ibisring_policy.gateway import polling
-from ibisring_policy.gateway import sharing
+from ibisring_policy.gateway import storereaders
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import routing
 
-FOLLOWED = ordering.StoreTouch.FOLLOWED
-LOST = ordering.StoreTouch.LOST
+FOLLOWING = layerorders.StoreStatus.FOLLOWING
+LOST = layerorders.StoreStatus.LOST
 
 
 def _reader_role():
-    return sharing.Role.READS
+    return storereaders.Role.READS
 
 
 def _receive_report(
-    router_peers, name, domain, touch, at, lost_ms=None, standing=None
+    router_peers,
+    name,
+    domain,
+    store_status,
+    at,
+    lost_ms=None,
+    store_access=None,
 ):
     """Have a router receive a datagram of another one."""
-    neighbour = sharing.Neighbour(name, standing) if standing else None
-    heard = hearing.Heard(
-        name=name, domain=domain, at=at, touch=touch, neighbour=neighbour
+    neighbour = (
+        storereaders.Neighbour(name, store_access) if store_access else None
     )
-    router_peers.receive_report(heard, f'{name}:1', lost_ms)
+    report = peerreports.PeerReport(
+        name=name,
+        domain=domain,
+        received_at=at,
+        store_status=store_status,
+        neighbour=neighbour,
+    )
+    router_peers.receive_report(report, f'{name}:1', lost_ms)
 
 
 def _make_peers(view=None):
@@ -47,7 +59,7 @@
         store='127.0.0.1:3',
         peer_port=0,
     )
-    view = view or builders.view_of([])
+    view = view or builders.make_view([])
     followers = following.make_followers(polling.Fleet, _reader_role)
     for name in (peers.TABLE, peers.ENDPOINTS):
         followers.add(name, None, name == peers.TABLE, [].append)
@@ -61,18 +73,18 @@
     router_peers = _make_peers()
     clock = builders.Clock()
     router_peers.view.clock = clock
-    router_peers.peer_reports.begun_at = 0.0
-    served = sharing.Standing.SERVED
+    router_peers.peer_reports.started_at = 0.0
+    served = storereaders.StoreAccess.SERVED
     for name, domain in (('q1', 'a'), ('r1', 'a'), ('s1', 'b'), ('t1', 'B')):
         _receive_report(
             router_peers, name, domain, LOST, clock(), None, served
         )
     assert router_peers.polling_slot() == polling.Fleet(4, 2, 5)
     for name in ('q1', 'r1'):
-        lost = sharing.Standing.LOST
+        lost = storereaders.StoreAccess.LOST
         _receive_report(router_peers, name, 'a', LOST, clock(), None, lost)
     router_peers._update_role(clock())
-    assert router_peers.role() is sharing.Role.ASKS
+    assert router_peers.role() is storereaders.Role.ASKS
     assert router_peers.polling_slot() == polling.Fleet(5, 1, 5)
     clock.now += 100.0
     router_peers._update_role(clock())
@@ -90,9 +102,9 @@
     notified = []
     router_peers.followers.outage_reported = notified.append
     router_peers.followers.recovery_reported = lambda: notified.append('back')
-    reports = ((FOLLOWED, None), (LOST, 500), (FOLLOWED, 800))
-    for touch, lost_ms in reports:
-        _receive_report(router_peers, 'r1', 'a', touch, 10.0, lost_ms)
+    reports = ((FOLLOWING, None), (LOST, 500), (FOLLOWING, 800))
+    for store_status, lost_ms in reports:
+        _receive_report(router_peers, 'r1', 'a', store_status, 10.0, lost_ms)
     assert notified == [9.5, 9.2, 'back']
 
 
@@ -114,11 +126,11 @@
     message.table_version += 1
     receiver.receive(message, ('10.0.0.1', 7000))
     since = router_peers.catchup.behind_since
-    assert router_peers.catchup.ahead == 'r1'
+    assert router_peers.catchup.newest_peer == 'r1'
     assert router_peers.others()[0].address == '10.0.0.1:7000'
-    assert router_peers.catchup.is_due(since + catchup.MOST_BEHIND, 0.0, 6)
-    router_peers.catchup.forget(since + 10.0)
-    assert router_peers.catchup.ahead is None
+    assert router_peers.catchup.is_due(since + catchup.MAX_LAG_SECONDS, 0.0, 6)
+    router_peers.catchup.expire(since + 10.0)
+    assert router_peers.catchup.newest_peer is None
 
 
 def test_state_is_fetched_from_the_same_domain_first():
@@ -131,7 +143,7 @@
     for name, domain in (('far', 'b'), ('near', 'a'), ('away', 'c')):
         _receive_report(router_peers, name, domain, LOST, 10.0)
         router_peers.note_newer(name, 10.0)
-    assert router_peers.catchup.ahead == 'near'
+    assert router_peers.catchup.newest_peer == 'near'
 
 
 @pytest.mark.parametrize('count', (6, 83))
@@ -145,9 +157,17 @@
     for number in range(1, count):
         _receive_report(router_peers, f'r{number}', 'a', LOST, 10.0)
     assert len(router_peers.store_statuses(11.0)) == count - 1
-    assert router_peers.store_statuses(10.0 + hearing.HEARD_FOR) == {}
+    assert (
+        router_peers.store_statuses(10.0 + peerreports.ROUTER_TIMEOUT_SECONDS)
+        == {}
+    )
     if count == 6:
-        assert router_peers.store_statuses(10.0 + hearing.HEARD_LATELY) == {}
+        assert (
+            router_peers.store_statuses(
+                10.0 + peerreports.STORE_STATUS_SECONDS
+            )
+            == {}
+        )
 
 
 def test_holdings_reported_to_a_peer_are_applied():
@@ -197,6 +217,6 @@
     router_peers = catchup.make_catchup()
     from_store = []
     for number in range(4):
-        router_peers.asked(number, not router_peers.asked_store)
-        from_store.append(router_peers.asked_store)
+        router_peers.queried(number, not router_peers.queried_store)
+        from_store.append(router_peers.queried_store)
     assert from_store == [True, False, True, False]
--- a/packages/gateway/ibisring_gateway/tests/test_watching.py
+++ b/packages/gateway/ibisring_gateway/tests/test_watching.py
@@ -33,7 +33,7 @@
 
 def test_thread_sleeps_until_an_attempt_is_due():
     """Failure: 100 wake-ups a second for one stream, where 15 suffice."""
-    assert watching.MAX_SLEEP_SECONDS < selecting.LEAST_GAP
+    assert watching.MAX_SLEEP_SECONDS < selecting.MIN_EVENT_TIMEOUT
     watcher, clock, _ = _watcher()
     assert watcher.sleep_seconds(clock()) == watching.IDLE_SLEEP_SECONDS
     attempt, ours, _ = _attempt(watcher, clock)
@@ -69,5 +69,5 @@
     attempt, ours, _ = _attempt(watcher, clock)
     clock.now += 10.0
     watcher.check(clock())
-    assert attempt.end is attempts.End.DEADLINE
+    assert attempt.result is attempts.Result.DEADLINE
     watcher.remove(ours)
--- a/packages/gateway/ibisring_gateway/watching.py
+++ b/packages/gateway/ibisring_gateway/watching.py
@@ -26,7 +26,7 @@
 
     Attributes
     ----------
-    end : attempts.End or None
+    result : attempts.Result or None
         Why this router ended the attempt.
     deadline : float
         Monotonic time at which the attempt is given up.
@@ -57,7 +57,7 @@
         'endpoint',
         'stages',
         'socket',
-        'end',
+        'result',
         'deadline',
         'check_at',
         'sent_at',
@@ -77,7 +77,7 @@
         self.endpoint = endpoint
         self.stages = stages
         self.socket = None
-        self.end = None
+        self.result = None
         self.deadline = deadline
         self.check_at = None
         self.sent_at = 0.0
@@ -97,8 +97,8 @@
         Shutting the socket down wakes a thread that is blocked reading from
         it; closing it would not.
         """
-        if self.end is None:
-            self.end = end
+        if self.result is None:
+            self.result = end
         sock = self.socket
         if sock is not None:
             try:
@@ -198,15 +198,15 @@
             attempt = self.by_fd.get(fd)
             self._unregister(fd)
         if attempt is not None:
-            attempt.abort(attempts.End.CALLER_GONE)
+            attempt.abort(attempts.Result.CALLER_GONE)
 
     def check(self, now):
         """Abort attempts past their deadline; report silent ones."""
         for attempt in self.attempts():
             if now >= attempt.deadline:
-                attempt.abort(attempts.End.DEADLINE)
+                attempt.abort(attempts.Result.DEADLINE)
             elif attempt.check_at is not None and now >= attempt.check_at:
-                if not attempt.is_checking and attempt.end is None:
+                if not attempt.is_checking and attempt.result is None:
                     attempt.is_checking = True
                     self.on_silence(attempt)
 
