--- a/packages/gateway/ibisring_gateway/asking.py
+++ b/packages/gateway/ibisring_gateway/asking.py
@@ -86,7 +86,7 @@
         self.pool.submit(self._probe, endpoint)
 
     def refresh_slowdown(self, endpoint):
-        """Query a slow endpoint's current pace in the background."""
+        """Query a slow endpoint's status in the background."""
         self.pool.submit(self._status, endpoint, PROBE_TIMEOUT_SECONDS)
 
     def _status(self, endpoint, timeout):
@@ -126,5 +126,5 @@
 
 
 def make_status_querier(view, engines, metrics):
-    """Make an `Asker`."""
+    """Make a `StatusQuerier`."""
     return StatusQuerier(view, engines, metrics)
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -46,13 +46,13 @@
 class Confirmed(msgspec.Struct):
     """Versions that a router which reads the store has confirmed as current.
 
-    `table` is the version of the routing table, `table_position` the store
+    `table_version` is that of the routing table, `table_position` the store
     version up to which the table was read; `newest_version` is the store
     version at which endpoints last changed, `position` the one up to which
     they were read; `age` is the seconds since these reads.
     """
 
-    table: int
+    table_version: int
     table_position: int
     newest_version: int
     position: int
@@ -134,8 +134,8 @@
             self._replace(table_read_at=now - message.age)
             for table in message.items:
                 self._apply_table(table, message.origin)
-            known = max(self.view.snapshot.table_position, message.position)
-            self._replace(table_position=known)
+            position = max(self.view.snapshot.table_position, message.position)
+            self._replace(table_position=position)
             return
         self._apply_endpoints(message, now)
 
@@ -143,11 +143,11 @@
         """Update read times and versions that a reader has confirmed."""
         before = self.view.snapshot
         read_at = self.view.clock() - message.age
-        if message.table == before.version:
-            known = max(before.table_position, message.table_position)
+        if message.table_version == before.version:
+            position = max(before.table_position, message.table_position)
             self._replace(
                 table_read_at=max(before.table_read_at, read_at),
-                table_position=known,
+                table_position=position,
             )
         if message.newest_version <= before.position:
             self._replace(
@@ -254,8 +254,10 @@
         if message.whole:
             # A peer has read the store, so endpoints missing from its list
             # have left.
-            sure = message.origin != STORE
-            changed = self.presence.replace(message.items, now, confirmed=sure)
+            confirmed = message.origin != STORE
+            changed = self.presence.replace(
+                message.items, now, confirmed=confirmed
+            )
         else:
             changed = self._apply_each(message.items, now)
         changed |= self.presence.expire(now)
@@ -276,7 +278,7 @@
                 changed |= self.presence.put(item, now)
         return changed
 
-    def _publish(self, now, origin, read_at, known):
+    def _publish(self, now, origin, read_at, versions):
         """Put the usable endpoints in force as a new snapshot.
 
         Parameters
@@ -285,7 +287,7 @@
         origin : str
         read_at : float
             When the store was read.
-        known : ReadResult or view.Snapshot
+        versions : ReadResult or view.Snapshot
             Provides the store versions.
         """
         before = self.view.snapshot
@@ -298,8 +300,8 @@
             endpoints=usable,
             by_service=by_service,
             endpoints_read_at=read_at,
-            position=known.position,
-            newest_version=known.newest_version or known.position,
+            position=versions.position,
+            newest_version=versions.newest_version or versions.position,
             endpoints_known=True,
             known_since=before.known_since if before.endpoints_known else now,
         )
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -132,8 +132,8 @@
         queries = [self.querier.query(endpoint) for endpoint in queried]
         lost = {
             endpoint.id
-            for endpoint, query_future in zip(queried, queries)
-            if not self.querier.is_answered(query_future)
+            for endpoint, query in zip(queried, queries)
+            if not self.querier.is_answered(query)
         }
         if len(lost) > max(1, MAX_LOST_SHARE * len(queried)):
             logs.event(
@@ -284,8 +284,12 @@
         endpoint = endpoints.get(stage.endpoint)
         if endpoint is None or endpoint.state is routing.State.DRAINING:
             continue
-        held = endpoint.holding
-        if held is None or held.first > stage.first or held.end < stage.end:
+        holding = endpoint.holding
+        if (
+            holding is None
+            or holding.first > stage.first
+            or holding.end < stage.end
+        ):
             found.add(stage.endpoint)
     return found
 
--- a/packages/gateway/ibisring_gateway/following.py
+++ b/packages/gateway/ibisring_gateway/following.py
@@ -245,8 +245,8 @@
         then may come back, and each router must judge that by its own calls.
         """
         with self.lock:
-            is_steady = self.polling.is_stable(self.clock())
-        if is_steady and self.role() is storereaders.Role.READS:
+            is_stable = self.polling.is_stable(self.clock())
+        if is_stable and self.role() is storereaders.Role.READS:
             self.publish(page, before, is_table)
 
     def apply_changes(self, name, changes):
--- a/packages/gateway/ibisring_gateway/gossip.py
+++ b/packages/gateway/ibisring_gateway/gossip.py
@@ -53,7 +53,7 @@
     slowdowns : dict of str to float
         Slowdown factors of the engines that the sender found slow.
     store_status : layerorders.StoreStatus
-        The sender's connection to the store.
+        What the sender has seen of the store: unknown, following or lost.
     term : int
         Highest lease term known to the sender.
     holdings : dict of str to (int, int, int)
@@ -66,7 +66,7 @@
     store_lost_ms : int or None
         Milliseconds since the sender last lost the store, None if never.
     store_access : storereaders.StoreAccess
-        Whether the store answers the sender's calls.
+        Whether the store serves the sender; decides which routers read it.
     router_counts : dict of str to (int, int)
         Running routers by failure domain, and milliseconds since a router of
         that domain reported the number.
@@ -85,9 +85,9 @@
         milliseconds since.
     recovered : list of str
         Engines found unreachable that have answered the sender again.
-    suspects : list of suspects.Word
+    suspects : list of suspects.SuspectUpdate
         Requests during which endpoints have crashed.
-    limits : dict of str to ratelimits.Word
+    limits : dict of str to ratelimits.LimitUpdate
         Request rates that endpoints accept from all routers together.
     """
 
@@ -275,32 +275,36 @@
         message = self._message(now)
         lost_at = self.peers.followers.lost_at
         suspects, limits = self.view.suspects, self.view.limits
-        prompt = [getattr(message, name) for name in _PROMPT_FIELDS]
-        prompt += [
+        prompt_state = [getattr(message, name) for name in _PROMPT_FIELDS]
+        prompt_state += [
             lost_at,
             suspects.changes,
             limits.changes,
             limits.endpoints_in_demand(now),
         ]
         rows = {row.name: row for row in self.peers.others()}
-        reach = min(
+        reach_share = min(
             1.0, gossipschedule.MAX_BROADCAST_PEERS / max(1, len(rows))
         )
         memory_use = self.view.estimates.max_memory_use
-        urgent = [getattr(message, name) for name in _URGENT_FIELDS]
-        urgent += [lost_at, suspects.local_changes, limits.changes]
-        is_urgent = self.urgent_schedule.has_recent_change(now, urgent)
-        if not self.schedule.is_due(now, prompt, memory_use, reach):
+        urgent_state = [getattr(message, name) for name in _URGENT_FIELDS]
+        urgent_state += [lost_at, suspects.local_changes, limits.changes]
+        is_urgent = self.urgent_schedule.has_recent_change(now, urgent_state)
+        if not self.schedule.is_due(
+            now, prompt_state, memory_use, reach_share
+        ):
             return
         local_names = [name for name in rows if self.peers.is_local(name)]
         remote_names = [name for name in rows if not self.peers.is_local(name)]
-        in_use = self._in_domains_of(message.tokens, remote_names, rows)
+        in_use = self._in_domains_of_engines(
+            message.tokens, remote_names, rows
+        )
         names = self.rotation.choose(
             local_names, remote_names, is_urgent, in_use
         )
         self._send_to([rows[name] for name in names], message)
 
-    def _in_domains_of(self, engines, remote_names, rows):
+    def _in_domains_of_engines(self, engines, remote_names, rows):
         """Return the routers in the domains of the engines given.
 
         Parameters
@@ -425,10 +429,10 @@
                 directory.HoldingReport(name, started, holding)
             )
         snapshot = self.view.snapshot
-        behind = message.endpoints_version > max(
+        is_behind = message.endpoints_version > max(
             snapshot.newest_version, snapshot.position
         )
-        if behind or message.table_version > snapshot.version:
+        if is_behind or message.table_version > snapshot.version:
             versions = {
                 TABLE: message.table_version,
                 ENDPOINTS: message.endpoints_version,
--- a/packages/gateway/ibisring_gateway/peers.py
+++ b/packages/gateway/ibisring_gateway/peers.py
@@ -128,14 +128,14 @@
         report : peerreports.PeerReport
         address : str
         lost_ms : int or None
-            Milliseconds since it last lost the store, None if never.
+            Milliseconds since that router last lost the store, None if never.
         """
-        before = self.peer_reports.receive(report)
+        previous = self.peer_reports.receive(report)
         if lost_ms is not None:
             self.followers.outage_reported(
                 report.received_at - lost_ms / SECOND_MS
             )
-        was_lost = before is not None and before.store_status is LOST
+        was_lost = previous is not None and previous.store_status is LOST
         if was_lost and report.store_status is FOLLOWING:
             self.followers.recovery_reported()
         row = self.rows.get(report.name)
@@ -158,11 +158,11 @@
         return row is not None and row.domain == self.settings.failure_domain
 
     def running_count(self, now):
-        """Return the estimated number of running routers with this one."""
+        """Return the estimated number of running routers, including this."""
         return sum(self.peer_reports.router_counts(now).values())
 
     def own_store_access(self):
-        """Return this router's store status as sent to other routers.
+        """Return this router's store access as sent to other routers.
 
         Returns
         -------
@@ -211,11 +211,11 @@
             running = sum(counts.values())
             rank = min(self.peer_reports.rank(now), running - 1)
             return polling.Fleet(running, rank, running)
-        before = storereaders.preferred_readers(
+        preferred = storereaders.preferred_readers(
             self.own_store_access(), self.peer_reports.neighbours(now)
         )
         return storereaders.fleet_position(
-            self.settings.failure_domain, len(before), counts
+            self.settings.failure_domain, len(preferred), counts
         )
 
     def store_statuses(self, now):
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -139,8 +139,8 @@
         directory.HoldingReport('x', 4, build.holding(0, 4))
     )
     assert view.snapshot.endpoints['x'].holding == build.holding(8, 16)
-    restarted = build.held_endpoint('x', 0, 4, started=3)
-    _read_endpoints(actor, [restarted], whole=False, position=2)
+    updated = build.held_endpoint('x', 0, 4, started=3)
+    _read_endpoints(actor, [updated], whole=False, position=2)
     assert view.snapshot.endpoints['x'].holding == build.holding(0, 4)
     assert view.snapshot.store_lost_at is None
 
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -218,7 +218,7 @@
         _engine('h2', 0, 40, card='big'),
         _engine('t2', 40, 80, card='big'),
     ]
-    for spares, may_change_endpoint, end in (
+    for spares, may_change_endpoint, expected in (
         (others, True, attempts.Result.SILENT),
         (others, False, None),
         (others[1:], True, None),
@@ -230,7 +230,7 @@
         scenario.attempt.may_change_endpoint = may_change_endpoint
         scenario.handler.run_checks()
         scenario.settle()
-        assert scenario.attempt.result is end
+        assert scenario.attempt.result is expected
         scenario.handler.stop()
 
 
@@ -239,7 +239,7 @@
 
     One stage leaves and no other engine holds its layers.  Each check tries
     to move the request, and three failed tries use up its moves, so that it
-    can't be moved when another stage has to be emptied.
+    can't be moved when another stage has to be unloaded.
     """
     scenario = Scenario()
     scenario.replace('m', state=routing.State.DRAINING)
--- a/packages/gateway/ibisring_gateway/tests/test_peers.py
+++ b/packages/gateway/ibisring_gateway/tests/test_peers.py
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize('count', (6, 83))
 def test_store_status_of_peers_expires(count):
-    """Failure: no router sends orders for seconds after a router was killed.
+    """Failure: no router orders layers for seconds after one was killed.
 
     The store fails together with the router that would take the lead, and
     that router still counts as running, for as long as in the retry budget.
@@ -214,9 +214,9 @@
 
 def test_store_and_peers_are_queried_alternately():
     """Failure: either the store or the peers can't provide what was missed."""
-    router_peers = catchup.make_catchup()
+    progress = catchup.make_catchup()
     from_store = []
     for number in range(4):
-        router_peers.queried(number, not router_peers.queried_store)
-        from_store.append(router_peers.queried_store)
+        progress.queried(number, not progress.queried_store)
+        from_store.append(progress.queried_store)
     assert from_store == [True, False, True, False]
