--- a/bench/relay.py
+++ b/bench/relay.py
@@ -114,10 +114,10 @@
             record.spec.update(
                 first_layer=0, last_layer=LAYERS - 1, slots=1000
             )
-    change = submitting.prepare(
+    change = submitting.make_change(
         records.Submission('bench', deployment.records), {}
     )
-    site.platform.table.commit({}, submitting.writes(change))
+    site.platform.table.commit({}, submitting.rows_to_write(change))
     return site
 
 
--- a/packages/gateway/ibisring_gateway/directory.py
+++ b/packages/gateway/ibisring_gateway/directory.py
@@ -294,7 +294,7 @@
         usable = self.presence.usable()
         by_service = {}
         for endpoint in usable.values():
-            if endpoint.state is routing.State.READY:
+            if endpoint.state is routing.EndpointState.READY:
                 by_service.setdefault(endpoint.service, []).append(endpoint)
         self._replace(
             endpoints=usable,
--- a/packages/gateway/ibisring_gateway/doctor.py
+++ b/packages/gateway/ibisring_gateway/doctor.py
@@ -272,7 +272,10 @@
     found = set()
     for stage in attempt.stages:
         endpoint = endpoints.get(stage.endpoint)
-        if endpoint is None or endpoint.state is routing.State.DRAINING:
+        if (
+            endpoint is None
+            or endpoint.state is routing.EndpointState.DRAINING
+        ):
             found.add(stage.endpoint)
     return found | _unloaded(attempt, endpoints)
 
@@ -282,7 +285,10 @@
     found = set()
     for stage in attempt.stages:
         endpoint = endpoints.get(stage.endpoint)
-        if endpoint is None or endpoint.state is routing.State.DRAINING:
+        if (
+            endpoint is None
+            or endpoint.state is routing.EndpointState.DRAINING
+        ):
             continue
         holding = endpoint.holding
         if (
--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -265,7 +265,7 @@
             step is attempts.NextStep.REFUSE
             and result is attempts.Result.SUSPECTED
         ):
-            raise exceptions.EndsEndpoints(
+            raise exceptions.CrashingRequest(
                 'endpoints crashed while they ran this request',
                 self.screen.retry_after(job),
                 digest=job.digest.hex(),
--- a/packages/gateway/ibisring_gateway/jobs.py
+++ b/packages/gateway/ibisring_gateway/jobs.py
@@ -67,7 +67,7 @@
         self.longest_pause = 0.0
         self.progress = attempts.Progress(
             repeatable=match.route.repeatable,
-            stream=match.route.kind is routing.Kind.STREAM,
+            stream=match.route.kind is routing.RequestKind.STREAM,
             max_endpoints=max(1, match.route.most_endpoints),
         )
 
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -61,7 +61,7 @@
         """
         endpoint = attempt.endpoint
         job.progress.tries += 1
-        is_once = job.route.kind is routing.Kind.ONCE
+        is_once = job.route.kind is routing.RequestKind.ONCE
         try:
             conn = self.connections.acquire(endpoint, fresh=is_once)
         except upstream.ConnectionFailed as error:
--- a/packages/gateway/ibisring_gateway/tests/test_directory.py
+++ b/packages/gateway/ibisring_gateway/tests/test_directory.py
@@ -60,7 +60,7 @@
 
 def test_draining_endpoint_is_known_but_gets_no_requests():
     actor, view, changes = _make_directory()
-    leaving = build.endpoint('x', state=routing.State.DRAINING)
+    leaving = build.endpoint('x', state=routing.EndpointState.DRAINING)
     _read_endpoints(actor, [build.endpoint('y'), leaving])
     assert [e.id for e in view.snapshot.by_service['lookup']] == ['y']
     assert set(view.snapshot.endpoints) == {'x', 'y'}
@@ -93,11 +93,11 @@
     """
     actor, view, _ = _make_directory()
     ready = build.endpoint('x')
-    leaving = build.endpoint('x', state=routing.State.DRAINING)
+    leaving = build.endpoint('x', state=routing.EndpointState.DRAINING)
     _read_endpoints(actor, [ready], position=4)
     _read_endpoints(actor, [leaving], position=6, origin='router r2')
     _read_endpoints(actor, [ready], whole, position=5)
-    assert view.snapshot.endpoints['x'].state is routing.State.DRAINING
+    assert view.snapshot.endpoints['x'].state is routing.EndpointState.DRAINING
     gone = [ports.Removed('x')]
     _read_endpoints(actor, gone, whole=False, position=7)
     assert view.snapshot.endpoints == {}
--- a/packages/gateway/ibisring_gateway/tests/test_doctor.py
+++ b/packages/gateway/ibisring_gateway/tests/test_doctor.py
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize(
     'changes',
-    [{'state': routing.State.DRAINING}, {'holding': None}],
+    [{'state': routing.EndpointState.DRAINING}, {'holding': None}],
 )
 def test_requests_are_moved_off_a_leaving_engine(scenario, changes):
     scenario.replace('m', **changes)
@@ -242,7 +242,7 @@
     can't be moved when another stage has to be unloaded.
     """
     scenario = Scenario()
-    scenario.replace('m', state=routing.State.DRAINING)
+    scenario.replace('m', state=routing.EndpointState.DRAINING)
     for _ in range(6):
         scenario.handler.run_checks()
         time.sleep(0.02)
--- a/packages/gateway/ibisring_gateway/tests/test_jobs.py
+++ b/packages/gateway/ibisring_gateway/tests/test_jobs.py
@@ -11,7 +11,10 @@
 
 def _job(**changes):
     route = build.route(
-        kind=routing.Kind.STREAM, objective=0.5, longest_pause=0.2, **changes
+        kind=routing.RequestKind.STREAM,
+        objective=0.5,
+        longest_pause=0.2,
+        **changes,
     )
     request = ports.CallerRequest(
         id='a1', method='POST', host='h.example', target='/a/x', headers={}
--- a/packages/policy/ibisring_policy/burn.py
+++ b/packages/policy/ibisring_policy/burn.py
@@ -38,7 +38,7 @@
     exceptions.Unauthorized,
     exceptions.Forbidden,
     exceptions.NotFound,
-    exceptions.KeyReused,
+    exceptions.IdempotencyKeyReused,
     exceptions.AccountLimited,
     exceptions.CallerGone,
 )
--- a/packages/policy/ibisring_policy/gateway/tests/builders.py
+++ b/packages/policy/ibisring_policy/gateway/tests/builders.py
@@ -138,7 +138,7 @@
         name='r1',
         host='h.example',
         prefix='/a/',
-        kind=routing.Kind.IDEMPOTENT,
+        kind=routing.RequestKind.IDEMPOTENT,
         timeout=0.8,
         objective=0.125,
         targets=(routing.Target('lookup', 1.0),),
--- a/packages/policy/ibisring_policy/gateway/tests/test_routetable.py
+++ b/packages/policy/ibisring_policy/gateway/tests/test_routetable.py
@@ -68,7 +68,9 @@
 
 
 def test_a_stream_may_be_retried_only_if_it_resumes():
-    kind = routing.Kind.STREAM
+    kind = routing.RequestKind.STREAM
     assert build.route(kind=kind, resumable=True).repeatable
     assert not build.route(kind=kind).repeatable
-    assert not build.route(kind=routing.Kind.ONCE, resumable=True).repeatable
+    assert not build.route(
+        kind=routing.RequestKind.ONCE, resumable=True
+    ).repeatable
--- a/packages/records/ibisring_records/conversion.py
+++ b/packages/records/ibisring_records/conversion.py
@@ -5,7 +5,7 @@
 record without erasing what only v2 can say.
 """
 
-__all__ = ['decode_spec', 'read_spec', 'view_spec', 'merge_spec']
+__all__ = ['decode_spec', 'read_spec', 'convert_spec', 'merge_spec']
 
 import urllib.parse
 
@@ -122,7 +122,7 @@
     return decode_spec(kind, schemas.LATEST_SCHEMA, _up(kind, decoded))
 
 
-def view_spec(kind, schema, spec, wanted):
+def convert_spec(kind, schema, spec, wanted):
     """Show a stored spec in another schema version, as builtins."""
     current = read_spec(kind, schema, spec)
     if wanted == 'v1':
--- a/packages/records/ibisring_records/exceptions.py
+++ b/packages/records/ibisring_records/exceptions.py
@@ -15,7 +15,7 @@
     'Unauthorized',
     'Forbidden',
     'NotFound',
-    'KeyReused',
+    'IdempotencyKeyReused',
     'NotReady',
     'NoEndpoint',
     'Overloaded',
@@ -25,7 +25,7 @@
     'CallerGone',
     'EndpointRefused',
     'EndpointFailed',
-    'EndsEndpoints',
+    'CrashingRequest',
     'OutcomeUnknown',
     'Interrupted',
     'Conflict',
@@ -75,8 +75,8 @@
     status = 500
     outcome = Outcome.UNKNOWN
     remedy = 'report this with the request id'
-    # The family that the stock OpenAI clients read from `error.type`.
-    family = 'server_error'
+    # The type that the stock OpenAI clients read from `error.type`.
+    error_type = 'server_error'
 
     def __init__(self, detail, retry_after=None, **facts):
         super().__init__(f'{detail}; {self.remedy}')
@@ -89,7 +89,7 @@
     code = 'invalid_request'
     status = 400
     outcome = Outcome.NOT_RUN
-    family = 'invalid_request_error'
+    error_type = 'invalid_request_error'
     remedy = 'correct the named field and send the request again'
 
 
@@ -114,7 +114,7 @@
     code = 'unauthorized'
     status = 401
     outcome = Outcome.NOT_RUN
-    family = 'authentication_error'
+    error_type = 'authentication_error'
     remedy = 'send a valid key as "Authorization: Bearer KEY"'
 
 
@@ -122,7 +122,7 @@
     code = 'forbidden'
     status = 403
     outcome = Outcome.NOT_RUN
-    family = 'permission_error'
+    error_type = 'permission_error'
     remedy = 'ask an operator to widen the account'
 
 
@@ -130,15 +130,15 @@
     code = 'not_found'
     status = 404
     outcome = Outcome.NOT_RUN
-    family = 'invalid_request_error'
+    error_type = 'invalid_request_error'
     remedy = 'list what exists with GET /v1/models or "ibisring get"'
 
 
-class KeyReused(IbisringError):
+class IdempotencyKeyReused(IbisringError):
     code = 'idempotency_key_reused'
     status = 422
     outcome = Outcome.NOT_RUN
-    family = 'invalid_request_error'
+    error_type = 'invalid_request_error'
     remedy = 'use a new Idempotency-Key for a different body'
 
 
@@ -167,7 +167,7 @@
     code = 'account_limited'
     status = 429
     outcome = Outcome.NOT_RUN
-    family = 'rate_limit_error'
+    error_type = 'rate_limit_error'
     remedy = 'retry after the time given, or have the limit raised'
 
 
@@ -210,7 +210,7 @@
     remedy = 'look at the endpoint error; a repeat is a new run'
 
 
-class EndsEndpoints(IbisringError):
+class CrashingRequest(IbisringError):
     """Endpoints have ended under this request, so none gets it."""
 
     code = 'ends_endpoints'
@@ -244,7 +244,7 @@
     code = 'conflict'
     status = 409
     outcome = Outcome.NOT_RUN
-    family = 'conflict_error'
+    error_type = 'conflict_error'
     remedy = 'read the record in force, merge, and submit with its revision'
 
 
--- a/packages/records/ibisring_records/routing.py
+++ b/packages/records/ibisring_records/routing.py
@@ -5,8 +5,8 @@
 """
 
 __all__ = [
-    'Kind',
-    'State',
+    'RequestKind',
+    'EndpointState',
     'Target',
     'Route',
     'Card',
@@ -24,7 +24,7 @@
 import msgspec
 
 
-class Kind(enum.StrEnum):
+class RequestKind(enum.StrEnum):
     """What may be repeated of a request."""
 
     IDEMPOTENT = 'idempotent'
@@ -32,7 +32,7 @@
     STREAM = 'stream'
 
 
-class State(enum.StrEnum):
+class EndpointState(enum.StrEnum):
     """Whether an endpoint takes new requests."""
 
     READY = 'ready'
@@ -56,7 +56,7 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RequestKind
     timeout: float
     objective: float
     priority: int = 0
@@ -69,9 +69,9 @@
     @property
     def repeatable(self):
         """Whether a request may run more than once."""
-        if self.kind is Kind.STREAM:
+        if self.kind is RequestKind.STREAM:
             return self.resumable
-        return self.kind is Kind.IDEMPOTENT
+        return self.kind is RequestKind.IDEMPOTENT
 
 
 class Card(msgspec.Struct, frozen=True):
@@ -173,7 +173,7 @@
     service: str
     address: str
     failure_domain: str
-    state: State = State.READY
+    state: EndpointState = EndpointState.READY
     slots: int = 0
     card: str = ''
     holding: Holding | None = None
--- a/packages/records/ibisring_records/submitting.py
+++ b/packages/records/ibisring_records/submitting.py
@@ -1,12 +1,12 @@
 """Turning a submission into one transaction: pure, without I/O.
 
-The accepting router reads the rows named by `rows_to_read`, calls `prepare`
-with what it read, and commits the result with the table service's
-compare-and-set.  Every write carries the submission's id, so a commit whose
-answer was lost is settled by reading ``submissions/ID``.
+The accepting router reads the rows named by `rows_to_read`, calls
+`make_change` with what it read, and commits the result with the table
+service's compare-and-set.  Every write carries the submission's id, so a
+commit whose answer was lost is settled by reading ``submissions/ID``.
 """
 
-__all__ = ['rows_to_read', 'check', 'prepare', 'writes']
+__all__ = ['rows_to_read', 'check_submission', 'make_change', 'rows_to_write']
 
 import msgspec
 
@@ -17,14 +17,14 @@
 
 
 def rows_to_read(submission):
-    """Give the keys that `prepare` needs, the head row first."""
+    """Give the keys that `make_change` needs, the head row first."""
     keys = [records.HEAD_KEY, records.submission_key(submission.id)]
     for record in submission.records:
         keys.append(records.record_key(record.kind, record.name))
     return keys
 
 
-def check(submission):
+def check_submission(submission):
     """Refuse a submission that is wrong in itself.
 
     Raises
@@ -71,7 +71,7 @@
     )
 
 
-def prepare(submission, rows):
+def make_change(submission, rows):
     """Make the change for a submission.
 
     Parameters
@@ -89,7 +89,7 @@
     ------
     InvalidRecord, Conflict
     """
-    check(submission)
+    check_submission(submission)
     head = rows.get(records.HEAD_KEY)
     revision = msgspec.convert(head, records.Head).revision if head else 0
     revision += 1
@@ -101,7 +101,7 @@
     return records.Change(revision, submission.id, changed)
 
 
-def writes(change):
+def rows_to_write(change):
     """Give the rows that keep a change, by table key.
 
     Parameters
--- a/packages/router/ibisring_router/controlapi.py
+++ b/packages/router/ibisring_router/controlapi.py
@@ -241,7 +241,7 @@
         stored.revision,
     )
     try:
-        converted = conversion.view_spec(
+        converted = conversion.convert_spec(
             stored.kind, stored.schema, stored.spec, schema
         )
     except exceptions.InvalidRecord as error:
--- a/packages/router/ibisring_router/holding.py
+++ b/packages/router/ibisring_router/holding.py
@@ -125,7 +125,7 @@
 
         Raises
         ------
-        KeyReused
+        IdempotencyKeyReused
         Overloaded
             Too many are in the making.
         """
@@ -187,10 +187,10 @@
 
     Raises
     ------
-    KeyReused
+    IdempotencyKeyReused
     """
     if held != given:
-        raise exceptions.KeyReused(
+        raise exceptions.IdempotencyKeyReused(
             'the Idempotency-Key was used for another request'
         )
 
--- a/packages/router/ibisring_router/keyed.py
+++ b/packages/router/ibisring_router/keyed.py
@@ -150,7 +150,7 @@
             holding.check_fingerprint(
                 holder.fingerprint, request.fingerprint()
             )
-        except exceptions.KeyReused as error:
+        except exceptions.IdempotencyKeyReused as error:
             return error
         view = self._ask_until_ended(request, holder)
         if view is None or view.state is not claiming.HeldState.ENDED:
--- a/packages/router/ibisring_router/recordkeeping.py
+++ b/packages/router/ibisring_router/recordkeeping.py
@@ -259,7 +259,7 @@
         SubmissionUnknown
             It may; `settle` will tell.
         """
-        submitting.check(submission)
+        submitting.check_submission(submission)
         try:
             return self._try_to_submit(submission)
         except exceptions.NotAccepted as error:
@@ -281,7 +281,7 @@
                 return accepted, None
             values = {key: row.value for key, row in rows.items()}
             seen = self._check_unmoved(submission, values, seen)
-            change = submitting.prepare(submission, values)
+            change = submitting.make_change(submission, values)
             if self._commit(submission, change, rows):
                 self.offer_changes([change])
                 accepted = records.Accepted(submission.id, change.revision)
@@ -333,7 +333,7 @@
             for key in submitting.rows_to_read(submission)
         }
         try:
-            self.table.commit(expected, submitting.writes(change))
+            self.table.commit(expected, submitting.rows_to_write(change))
             return True
         except exceptions.Conflict:
             return False
--- a/packages/router/ibisring_router/tests/test_holding.py
+++ b/packages/router/ibisring_router/tests/test_holding.py
@@ -71,7 +71,7 @@
     answers = make_answers([0.0])
     held = answer(answers, 'k')
     assert answers.open('k', 'print') == (held, False)
-    with pytest.raises(exceptions.KeyReused):
+    with pytest.raises(exceptions.IdempotencyKeyReused):
         answers.open('k', 'other')
 
 
--- a/packages/soak/ibisring_soak/asking.py
+++ b/packages/soak/ibisring_soak/asking.py
@@ -44,10 +44,10 @@
     """
     call = Call(time.monotonic(), body)
     sent = running.headers(name, Credential=KEY)
-    port = router.process.front
+    port = router.process.caller_port
     try:
         reply = running.fetch(port, 'POST', f'/{kind}/x', sent, body)
-        call.status = reply.status if reply.whole else 0
+        call.status = reply.status if reply.complete else 0
         retry_after = reply.headers.get('Retry-After')
         call.retry_after = float(retry_after) if retry_after else None
     except (OSError, http.client.HTTPException) as error:
--- a/packages/soak/ibisring_soak/callers.py
+++ b/packages/soak/ibisring_soak/callers.py
@@ -111,7 +111,7 @@
             response = conn.getresponse()
             call.status = response.status
             call.signed = running.is_signed(response.headers)
-            call.answered_id = running.answered_id(response.headers)
+            call.answered_id = running.response_request_id(response.headers)
             if call.kind == 'stream' and rng.random() < LEAVES:
                 time.sleep(LEAVES_AFTER)
                 call.gave_up = True
@@ -126,7 +126,7 @@
             LOG.debug('%s: %s', call.id, error)
         if call.kind == 'stream':
             reply = running.Reply(call.status, {}, call.body, call.whole)
-            call.words = reply.words() if call.status == 200 else []
+            call.words = reply.event_data() if call.status == 200 else []
         return call.whole and not response.will_close
 
 
--- a/packages/soak/ibisring_soak/injecting.py
+++ b/packages/soak/ibisring_soak/injecting.py
@@ -144,9 +144,9 @@
             self._leave(engine)
         elif fault.kind == 'dark':
             self._disturb('endpoints', fault.lasts)
-            engine.dark = True
+            engine.unresponsive = True
             time.sleep(fault.lasts)
-            engine.dark = False
+            engine.unresponsive = False
         elif fault.kind == 'restart':
             self._disturb('endpoints', fault.lasts)
             engine.restart()
--- a/packages/soak/ibisring_soak/limited.py
+++ b/packages/soak/ibisring_soak/limited.py
@@ -146,7 +146,7 @@
                 pool.submit(self._call, number)
         site = self.world.site
         servers = {**site.engines, **site.services}
-        runs = {name: list(each.ran_at) for name, each in servers.items()}
+        runs = {name: list(each.run_times) for name, each in servers.items()}
         return Seen(self.calls, runs, begun + CONTACT)
 
     def _call(self, number):
--- a/packages/soak/ibisring_soak/world.py
+++ b/packages/soak/ibisring_soak/world.py
@@ -48,7 +48,7 @@
             failure_domain=domain,
             grace_s=GRACE,
         )
-        self.front = proxy.make_proxy(f'127.0.0.1:{self.process.front}')
+        self.front = proxy.make_proxy(f'127.0.0.1:{self.process.caller_port}')
         self.in_rotation = False
         self.told_at = None
         self.killed = False
@@ -218,7 +218,7 @@
     def collect(self):
         """Take over what the endpoints saw, and give the history."""
         self.history.runs = [records.Run(*each) for each in self.site.runs()]
-        self.history.overloaded = list(self.site.overloaded)
+        self.history.overloaded = list(self.site.overfilled_engines)
         return self.history
 
     def stop(self):
--- a/packages/standins/ibisring_standins/__main__.py
+++ b/packages/standins/ibisring_standins/__main__.py
@@ -33,8 +33,8 @@
     if load:
         deployment = deployments.DEPLOYMENTS[load]()
         submission = records.Submission('loaded', deployment.records)
-        change = submitting.prepare(submission, {})
-        site.platform.table.commit({}, submitting.writes(change))
+        change = submitting.make_change(submission, {})
+        site.platform.table.commit({}, submitting.rows_to_write(change))
     app_ = platformserver.make_app(site.platform)
     site.listen('platform', app_, embedded.PLATFORM_THREADS, port)
     _serve_forever(site)
--- a/packages/standins/ibisring_standins/embedded.py
+++ b/packages/standins/ibisring_standins/embedded.py
@@ -106,6 +106,6 @@
         if record.kind == 'endpoint':
             _start_endpoint(site, record, speed)
     submission = records.Submission(SUBMISSION, deployment.records)
-    change = submitting.prepare(submission, {})
-    site.platform.table.commit({}, submitting.writes(change))
+    change = submitting.make_change(submission, {})
+    site.platform.table.commit({}, submitting.rows_to_write(change))
     return site
--- a/packages/standins/ibisring_standins/tests/test_deployments.py
+++ b/packages/standins/ibisring_standins/tests/test_deployments.py
@@ -29,7 +29,7 @@
 )
 def test_example_has_the_sizes_of_the_brief(name, service):
     submission = records.Submission('example', read_example(name))
-    change = submitting.prepare(submission, {})
+    change = submitting.make_change(submission, {})
     current = configuration.build(1, change.records)
     endpoints = current.endpoints.values()
     kinds = collections.Counter(bool(e.spec.service) for e in endpoints)
--- a/packages/web/ibisring_web/routes.py
+++ b/packages/web/ibisring_web/routes.py
@@ -116,7 +116,7 @@
     return {
         'error': {
             'message': str(error),
-            'type': error.family,
+            'type': error.error_type,
             'param': None,
             'code': error.code,
             'outcome': error.outcome.value,
