--- a/packages/records/ibisring_records/__init__.py
+++ b/packages/records/ibisring_records/__init__.py
@@ -1,1 +1,1 @@
-"""Records, their schemas, and the errors shared by every package."""
+"""Configuration records, their schemas, and the shared error classes."""
--- a/packages/records/ibisring_records/configuration.py
+++ b/packages/records/ibisring_records/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration in force: an immutable view with indexes.
+"""The active configuration: an immutable view with indexes.
 
-A `Configuration` is replaced as a whole, so a request that holds one sees
-the same records from its start to its end.
+A `Configuration` is replaced as a whole, so a request that keeps a reference
+to one uses the same records from start to end.
 """
 
 __all__ = ['Configuration', 'Endpoint', 'build']
@@ -23,8 +23,9 @@
 class Configuration(msgspec.Struct, frozen=True):
     """Readable records by kind and name, at one revision.
 
-    `unreadable` maps record keys to the reason; such records are kept in
-    the table service and reported, never guessed at.
+    `unreadable` maps the keys of records that can't be decoded to the error
+    detail.  Such records stay in the table service and are reported; no
+    default takes their place.
     """
 
     revision: int
@@ -38,17 +39,17 @@
     unreadable: dict[str, str]
 
     def services(self):
-        """Give the sorted names of the plain services."""
+        """Return the sorted names of the plain services."""
         names = {e.spec.service for e in self.endpoints.values()}
         return sorted(names - {''})
 
     def service_endpoints(self, service):
-        """Give the endpoints of a plain service."""
-        found = self.endpoints.values()
-        return [e for e in found if e.spec.service == service]
+        """Return the endpoints of a plain service."""
+        endpoints = self.endpoints.values()
+        return [e for e in endpoints if e.spec.service == service]
 
     def model_endpoints(self, model, version):
-        """Give the engines that hold layers of a model version."""
+        """Return the engines that hold layers of a model version."""
         return [
             e
             for e in self.endpoints.values()
--- a/packages/records/ibisring_records/conversion.py
+++ b/packages/records/ibisring_records/conversion.py
@@ -1,8 +1,8 @@
-"""Conversion between record schema versions, losing no field.
+"""Lossless conversion between record schema versions.
 
-A spec is kept in the schema its operator wrote.  `read_spec` gives the v2
-object that the system uses; `merge_spec` lets a v1 writer change a v2
-record without erasing what only v2 can say.
+A spec is stored in the schema version in which it was submitted.
+`read_spec` returns the v2 object that the system uses; `merge_spec` lets a
+v1 client change a v2 record without erasing the fields that only v2 has.
 """
 
 __all__ = ['decode_spec', 'read_spec', 'convert_spec', 'merge_spec']
@@ -16,7 +16,7 @@
 
 
 def decode_spec(kind, schema, spec):
-    """Check a spec against its schema.
+    """Decode a spec and validate it against its schema.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
     Raises
     ------
     InvalidRecord
-        If the kind or schema is unknown or a field is wrong.
+        If the kind or schema is unknown or a field is invalid.
     """
     cls = schemas.SCHEMAS.get((kind, schema))
     if cls is None:
@@ -85,13 +85,13 @@
     }
 
 
-def _up(kind, old):
+def _upgrade(kind, old):
     if kind == 'endpoint':
         return _endpoint_to_v2(old)
     return msgspec.to_builtins(old)
 
 
-def _down(kind, new):
+def _downgrade(kind, new):
     if kind == 'endpoint':
         return _endpoint_to_v1(new)
     names = schemas.SCHEMAS[kind, 'v1'].__struct_fields__
@@ -99,17 +99,17 @@
 
 
 def read_spec(kind, schema, spec):
-    """Give the v2 object for a stored spec of either schema.
+    """Decode a stored spec of either schema to its v2 object.
 
     Returns
     -------
     msgspec.Struct
-        Of the v2 class of the kind.
+        An instance of the kind's v2 class.
 
     Raises
     ------
     InvalidRecord
-        If the spec can't be read; the caller keeps the record as it is.
+        If the spec can't be decoded; callers keep the record unchanged.
 
     Examples
     --------
@@ -119,39 +119,39 @@
     decoded = decode_spec(kind, schema, spec)
     if schema == schemas.LATEST_SCHEMA:
         return decoded
-    return decode_spec(kind, schemas.LATEST_SCHEMA, _up(kind, decoded))
+    return decode_spec(kind, schemas.LATEST_SCHEMA, _upgrade(kind, decoded))
 
 
-def convert_spec(kind, schema, spec, wanted):
-    """Show a stored spec in another schema version, as builtins."""
+def convert_spec(kind, schema, spec, target_schema):
+    """Convert a stored spec to another schema version, as builtins."""
     current = read_spec(kind, schema, spec)
-    if wanted == 'v1':
-        return msgspec.to_builtins(_down(kind, current))
+    if target_schema == 'v1':
+        return msgspec.to_builtins(_downgrade(kind, current))
     return msgspec.to_builtins(current)
 
 
 def merge_spec(kind, schema, spec, stored_schema, stored_spec):
-    """Lay a written spec over the stored one.
+    """Merge a submitted spec into the stored one.
 
     Parameters
     ----------
     kind : str
     schema, spec
-        What the operator wrote.
+        As submitted by the operator.
     stored_schema, stored_spec
-        What is kept now.
+        As stored now.
 
     Returns
     -------
     tuple of (str, dict)
-        Schema and spec to store.
+        The schema and spec to store.
 
     Notes
     -----
-    A v1 writer can't see the fields that came with v2.  Storing its spec
-    alone would reset them, which shows as an endpoint losing its adapters
-    or an account its weight after an edit by an old tool.  So v1 values
-    replace only what v1 can say, and the record stays v2.
+    A v1 client doesn't see the fields added in v2.  Storing its spec alone
+    would reset them: an edit with an old tool would remove an endpoint's
+    adapters or an account's weight.  So v1 values replace only the fields
+    that v1 has, and the record stays v2.
 
     Examples
     --------
@@ -161,6 +161,6 @@
     """
     decoded = decode_spec(kind, schema, spec)
     if schema == 'v1' and stored_schema == schemas.LATEST_SCHEMA:
-        changed = _up(kind, decoded)
-        return stored_schema, {**stored_spec, **changed}
+        upgraded = _upgrade(kind, decoded)
+        return stored_schema, {**stored_spec, **upgraded}
     return schema, dict(spec)
--- a/packages/records/ibisring_records/exceptions.py
+++ b/packages/records/ibisring_records/exceptions.py
@@ -1,8 +1,8 @@
-"""Errors of ibisring: one base class, stable codes, a remedy in each.
+"""Error classes of ibisring, with stable codes and remedies.
 
 Every error that can reach a caller or an operator is a subclass of
-`IbisringError`.  Its `code` never changes once released, its `outcome` says
-whether the request ran, and its message ends with what to do about it.
+`IbisringError`.  Its `code` never changes once released, its `outcome` states
+whether the request ran, and its message ends with a remedy.
 """
 
 __all__ = [
@@ -52,17 +52,17 @@
 
 
 class IbisringError(Exception):
-    """Base of all errors.
+    """Base class of all errors.
 
     Parameters
     ----------
     detail : str
-        What happened, as one sentence without a full stop.
+        Description of the error: one sentence without a full stop.
     retry_after : float or None
-        Seconds after which another try is worth making.
+        Seconds after which a retry may succeed.
     **facts
-        Values that a program may want, such as revisions; they travel with
-        the error over HTTP.
+        Machine-readable details, such as revisions; they are part of the
+        error's HTTP response.
 
     Examples
     --------
@@ -75,7 +75,7 @@
     status = 500
     outcome = Outcome.UNKNOWN
     remedy = 'report this with the request id'
-    # The type that the stock OpenAI clients read from `error.type`.
+    # Sent as `error.type`, which the official OpenAI clients read.
     error_type = 'server_error'
 
     def __init__(self, detail, retry_after=None, **facts):
@@ -193,7 +193,7 @@
 
 
 class EndpointRefused(IbisringError):
-    """The endpoint itself said that it did not begin."""
+    """The endpoint reported that it did not start the request."""
 
     code = 'endpoint_refused'
     status = 503
@@ -202,7 +202,7 @@
 
 
 class EndpointFailed(IbisringError):
-    """The endpoint ran the request and reports its failure."""
+    """The endpoint ran the request and reported that it failed."""
 
     code = 'endpoint_failed'
     status = 502
@@ -211,7 +211,7 @@
 
 
 class CrashingRequest(IbisringError):
-    """Endpoints have ended under this request, so none gets it."""
+    """Endpoints crashed on this request, so it is not sent to others."""
 
     code = 'ends_endpoints'
     status = 503
@@ -223,7 +223,7 @@
 
 
 class OutcomeUnknown(IbisringError):
-    """The request may have run and nobody can say."""
+    """The request may have run, and its outcome can't be determined."""
 
     code = 'outcome_unknown'
     status = 504
@@ -232,7 +232,7 @@
 
 
 class Interrupted(IbisringError):
-    """An idempotent request was cut and could not be resumed in time."""
+    """An idempotent request broke off and was not resumed in time."""
 
     code = 'interrupted'
     status = 504
@@ -249,7 +249,7 @@
 
 
 class NotAccepted(IbisringError):
-    """A submission was certainly not written."""
+    """A submission was definitely not written."""
 
     code = 'not_accepted'
     status = 503
@@ -266,7 +266,7 @@
 
 
 class PlatformUnavailable(IbisringError):
-    """A platform service certainly did not act."""
+    """A platform service definitely did not execute the call."""
 
     code = 'platform_unavailable'
     status = 503
@@ -275,14 +275,14 @@
 
 
 class StoreBudgetSpent(PlatformUnavailable):
-    """The table service was not called, to keep its load within bounds."""
+    """The table service was not called: the call budget is used up."""
 
     code = 'store_budget_spent'
     remedy = 'try again in a second, or raise --table-reads or --table-writes'
 
 
 class PlatformAnswerLost(IbisringError):
-    """A platform service may have acted; its answer was lost."""
+    """A platform service may have executed the call; no response came."""
 
     code = 'platform_answer_lost'
     status = 504
@@ -304,34 +304,34 @@
 
 
 class MalformedMessage(IbisringError):
-    """Another process of this project sent what can't be read."""
+    """Another ibisring process sent a message that can't be decoded."""
 
     code = 'malformed_message'
     remedy = 'run releases that are at most one apart'
 
 
 def _all_subclasses(cls):
-    for sub in cls.__subclasses__():
-        yield sub
-        yield from _all_subclasses(sub)
+    for subclass in cls.__subclasses__():
+        yield subclass
+        yield from _all_subclasses(subclass)
 
 
 def error_from_code(code, detail, retry_after=None, facts=None):
-    """Rebuild the typed error that another process sent.
+    """Recreate the typed error that another process sent.
 
     Parameters
     ----------
     code : str
         A stable error code.
     detail : str
-        The sentence that came with it.
+        The detail that came with the code.
     retry_after : float or None
     facts : dict or None
 
     Returns
     -------
     IbisringError
-        Of the class with that code, or of the base class if none has it.
+        Of the class with that code, or of the base class if there is none.
 
     Examples
     --------
--- a/packages/records/ibisring_records/records.py
+++ b/packages/records/ibisring_records/records.py
@@ -1,4 +1,4 @@
-"""Records as operators submit them and as the table service keeps them."""
+"""Records as submitted by operators and as stored in the table service."""
 
 __all__ = [
     'Submitted',
@@ -35,7 +35,7 @@
     """One record in a submission.
 
     `revision` is that of the record the operator edited (0 for a new one),
-    or None to write over whatever is in force.  `deleted` removes it.
+    or None to overwrite any revision.  `deleted` removes the record.
     """
 
     kind: str
@@ -47,14 +47,14 @@
 
 
 class Submission(msgspec.Struct, forbid_unknown_fields=True):
-    """Records to be accepted together or not at all."""
+    """Records that are accepted together or not at all."""
 
     id: Name
     records: list[Submitted]
 
 
 class Stored(msgspec.Struct):
-    """A record as kept; `revision` is the whole's revision that wrote it."""
+    """A stored record, with the configuration revision that wrote it."""
 
     kind: str
     name: str
@@ -66,7 +66,7 @@
 
 
 class Change(msgspec.Struct):
-    """Everything that one revision changed."""
+    """All records written by one revision."""
 
     revision: int
     submission: str
@@ -74,35 +74,35 @@
 
 
 class Head(msgspec.Struct):
-    """The one small row that every router polls."""
+    """The latest revision; routers poll only this small row."""
 
     revision: int
 
 
 class Accepted(msgspec.Struct):
-    """The answer to a submission that the table service holds."""
+    """The response to a stored submission."""
 
     submission: str
     revision: int
 
 
 def record_key(kind, name):
-    """Give the table key of a record."""
+    """Return the table key of a record."""
     return f'{RECORD_PREFIX}{kind}/{name}'
 
 
 def change_key(revision):
-    """Give the table key of a change; keys sort by revision."""
+    """Return the table key of a change; keys sort by revision."""
     return f'{CHANGE_PREFIX}{revision:012d}'
 
 
 def submission_key(submission):
-    """Give the table key by which a submission is settled."""
+    """Return the key of the row that shows a submission was committed."""
     return f'{SUBMISSION_PREFIX}{submission}'
 
 
 def hash_key(key):
-    """Hash an account's secret key for storage and comparison.
+    """Hash an account's API key for storage and comparison.
 
     Examples
     --------
--- a/packages/records/ibisring_records/routing.py
+++ b/packages/records/ibisring_records/routing.py
@@ -1,7 +1,7 @@
-"""What is in force for forwarding: routes, services, accounts, limits.
+"""Configuration for forwarding: routes, services, accounts, limits.
 
-These are the product's own types.  An adapter decodes whatever an operator
-writes into them, so that no other module knows how it is spelled there.
+These types are independent of any platform.  An adapter decodes the
+operator's configuration into them, so no other module depends on its format.
 """
 
 __all__ = [
@@ -25,7 +25,7 @@
 
 
 class RequestKind(enum.StrEnum):
-    """What may be repeated of a request."""
+    """Whether and how a request may be retried."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -33,24 +33,26 @@
 
 
 class EndpointState(enum.StrEnum):
-    """Whether an endpoint takes new requests."""
+    """Whether an endpoint accepts new requests."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A service that a route sends a share of its requests to."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """A host and path prefix, and how its requests are treated.
+    """A host and path prefix, and how requests to it are handled.
 
     `timeout`, `objective` and `longest_pause` are in seconds.
-    `most_endpoints` bounds how many endpoints one request is sent to.
+    `longest_pause` is the objective for the pause between two events of a
+    stream, 0 for none.  `most_endpoints` is the maximum number of endpoints
+    that one request is sent to.
     """
 
     name: str
@@ -75,7 +77,7 @@
 
 
 class Card(msgspec.Struct, frozen=True):
-    """A kind of accelerator: memory in MB, and time factors."""
+    """A type of accelerator card: memory in MB, and time factors."""
 
     name: str
     memory_mb: float
@@ -84,11 +86,12 @@
 
 
 class Model(msgspec.Struct, frozen=True, kw_only=True):
-    """What the engines of a service run.
+    """The model that the engines of a service run.
 
-    `token_mb` is the KV cache of one token over all layers; `load_seconds`
-    the time to load all layers; `prefill_rate` tokens a second on a card of
-    factor 1; `activation_mb` what a token moves between two stages.
+    `token_mb` is the KV cache size of one token over all layers,
+    `load_seconds` the time to load all layers, `prefill_rate` in tokens per
+    second on a card of factor 1, `activation_mb` the data that a token
+    transfers between two stages.
     """
 
     layers: int
@@ -105,15 +108,15 @@
     cards: tuple[Card, ...]
 
     def card(self, name):
-        """Give a kind of card by its name, or None."""
-        for each in self.cards:
-            if each.name == name:
-                return each
+        """Return a type of card by its name, or None."""
+        for card in self.cards:
+            if card.name == name:
+                return card
         return None
 
 
 class Service(msgspec.Struct, frozen=True):
-    """Endpoints that are alike; `model` is None for a plain service."""
+    """Interchangeable endpoints; `model` is None for a plain service."""
 
     name: str
     most_connections: int
@@ -129,7 +132,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bounds on what callers send; sizes in bytes, times in seconds."""
+    """Limits on callers' requests; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -138,9 +141,9 @@
 
 
 class RoutingTable(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the configuration; versions only grow.
+    """One version of the configuration; versions only increase.
 
-    `accounts` is None where requests carry no key.
+    `accounts` is None if requests carry no key.
     """
 
     version: int
@@ -151,7 +154,7 @@
 
 
 class Holding(msgspec.Struct, frozen=True):
-    """Layers that an engine holds: from `first` up to, without, `end`."""
+    """Range of layers that an engine holds: `first` to `end`, exclusive."""
 
     first: int
     end: int
@@ -163,10 +166,11 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, kw_only=True):
-    """An endpoint as it describes itself.
+    """An endpoint, as described by its own entry.
 
-    `started` tells two runs under one id apart: Unix milliseconds of its
-    start, 0 if not told.  A restarted engine holds nothing.
+    `started` is the time of its start in Unix milliseconds, 0 if unknown.
+    It distinguishes process runs under one id: a restarted engine holds no
+    layers.
     """
 
     id: str
--- a/packages/records/ibisring_records/schemas.py
+++ b/packages/records/ibisring_records/schemas.py
@@ -1,8 +1,8 @@
-"""What operators may say: record kinds, in schema versions v1 and v2.
+"""Schemas v1 and v2 of the record kinds that operators submit.
 
-The v2 classes are the ones the rest of the system uses.  The v1 classes
-exist only to be read and written (see `ibisring_records.conversion`).
-Decoding checks types and refuses unknown fields, naming the field.
+The rest of the system uses the v2 classes.  The v1 classes exist only for
+decoding and encoding (see `ibisring_records.conversion`).  Decoding checks
+types and rejects unknown fields with an error that names the field.
 """
 
 __all__ = [
@@ -43,17 +43,17 @@
 
 
 class EndpointState(enum.StrEnum):
-    """Whether an endpoint may be given new work."""
+    """Whether an endpoint may be given new requests."""
 
     SERVING = 'serving'
     LEAVING = 'leaving'
 
 
 class Role(enum.StrEnum):
-    """When an endpoint that is serving is given work.
+    """When a serving endpoint is given requests.
 
-    A standby holds its layers, and is used only while no active endpoint
-    with the same layers can be.
+    A standby holds its layers, but is used only while no active endpoint
+    with the same layers is usable.
     """
 
     ACTIVE = 'active'
@@ -61,7 +61,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """Kinds of orders to an engine; each states the wanted end."""
+    """Kinds of orders to an engine; each states the desired end state."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -72,7 +72,7 @@
 class Objective(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """A service-level objective.
 
-    `target` is the share of requests answered whole within `bound_ms`.
+    `target` is the share of requests answered completely within `bound_ms`.
     """
 
     target: Share
@@ -98,7 +98,7 @@
 
 
 class VersionV2(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A version of a model; `weights` is its key in the weight store."""
+    """A model version; `weights` is its key in the weight store."""
 
     model: str
     weights: str
@@ -111,7 +111,7 @@
 
 
 class AdapterV2(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """An adapter over one version of a model ('' for any version)."""
+    """An adapter for one version of a model ('' for any version)."""
 
     model: str
     weights: str
@@ -126,9 +126,10 @@
 class AccountV2(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """A client account.
 
-    `weight` is its share in fair queueing, `tokens_per_second` its limit
-    over all routers (0 for none), `priorities` those that it may ask for
-    (empty for all).  An `operator` account may submit and read records.
+    `weight` is its weight in fair queueing, `tokens_per_second` its limit
+    over all routers (0 for none), `priorities` the priority classes that it
+    may request (empty for all).  An `operator` account may submit and read
+    records.
     """
 
     key_sha256: Hash
@@ -144,7 +145,7 @@
 
 
 class PriorityV2(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A priority class; lower `rank` goes first.
+    """A priority class; lower `rank` is served first.
 
     `reserved_share` is the share of each endpoint's concurrency that only
     this class and more urgent ones may use.
@@ -157,7 +158,7 @@
 
 
 class EndpointV1(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A v1 endpoint: `layers` is 'FIRST-LAST', `drain` asks it to leave."""
+    """A v1 endpoint: `layers` is 'FIRST-LAST', `drain` starts draining."""
 
     url: str
     zone: str
@@ -171,9 +172,9 @@
 class EndpointV2(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """An endpoint: a model engine (`model` set) or a plain service.
 
-    Layers `first_layer` to `last_layer` are both included.  `slots` is how
-    many requests it works on at once.  `checks_fencing` says that it refuses
-    an order with an old fencing number.
+    Layers are numbered from `first_layer` to `last_layer`, inclusive.
+    `slots` is the number of requests it runs at once.  `checks_fencing`
+    states that it rejects orders with an old fencing token.
     """
 
     address: Address
--- a/packages/records/ibisring_records/submitting.py
+++ b/packages/records/ibisring_records/submitting.py
@@ -1,4 +1,4 @@
-"""Turning a submission into one transaction: pure, without I/O.
+"""Turns a submission into one transaction; pure, without I/O.
 
 The accepting router reads the rows named by `rows_to_read`, calls
 `make_change` with what it read, and commits the result with the table
@@ -17,7 +17,7 @@
 
 
 def rows_to_read(submission):
-    """Give the keys that `make_change` needs, the head row first."""
+    """Return the keys that `make_change` needs, the head row first."""
     keys = [records.HEAD_KEY, records.submission_key(submission.id)]
     for record in submission.records:
         keys.append(records.record_key(record.kind, record.name))
@@ -25,7 +25,7 @@
 
 
 def check_submission(submission):
-    """Refuse a submission that is wrong in itself.
+    """Reject a submission that is invalid regardless of stored records.
 
     Raises
     ------
@@ -46,12 +46,12 @@
 
 
 def _merge(record, current, revision, submission_id):
-    found = current.revision if current is not None else 0
-    if record.revision is not None and record.revision != found:
+    current_revision = current.revision if current is not None else 0
+    if record.revision is not None and record.revision != current_revision:
         raise exceptions.Conflict(
-            f'{record.kind}/{record.name} is at revision {found},'
+            f'{record.kind}/{record.name} is at revision {current_revision},'
             f' the submission was made on revision {record.revision}',
-            in_force=found,
+            in_force=current_revision,
             submitted_on=record.revision,
         )
     schema, spec = record.schema, record.spec
@@ -72,18 +72,18 @@
 
 
 def make_change(submission, rows):
-    """Make the change for a submission.
+    """Make the change that applies a submission.
 
     Parameters
     ----------
     submission : records.Submission
     rows : dict of str to dict
-        Values now kept under the keys of `rows_to_read`; absent if none.
+        Current values of the keys of `rows_to_read`; absent if none.
 
     Returns
     -------
     records.Change
-        Its revision is one above the head's.
+        Its revision is the head's plus one.
 
     Raises
     ------
@@ -102,7 +102,7 @@
 
 
 def rows_to_write(change):
-    """Give the rows that keep a change, by table key.
+    """Return the rows that store a change, by table key.
 
     Parameters
     ----------
