--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -116,7 +116,7 @@
 
 def handover(site, routers, number):
     """Give seconds until a router's leases are held by others."""
-    wait_until(lambda: len(lease_rows(site)) == reconciling.SHARES)
+    wait_until(lambda: len(lease_rows(site)) == reconciling.SHARE_COUNT)
     counts = {
         router.id: sum(row.holder == router.id for row in lease_rows(site))
         for router in routers
--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -101,7 +101,7 @@
         self.engines = virtualengines.Engines(self.current, list(faults))
         set_policy(policy)
         self.dispatchers = make_dispatchers(self.current, seed)
-        self.turns_to_poll = statuspolling.turns_for(
+        self.turns_to_poll = statuspolling.poll_cycle_rounds(
             len(self.current.endpoints)
         )
         self.events = []
--- a/packages/router/ibisring_router/endings.py
+++ b/packages/router/ibisring_router/attempterrors.py
@@ -1,6 +1,11 @@
 """The final error of a request whose attempts ended badly."""
 
-__all__ = ['AttemptFailed', 'lost', 'doubt', 'final_error']
+__all__ = [
+    'AttemptFailed',
+    'from_answer_lost',
+    'uncertain_error',
+    'final_error',
+]
 
 from ibisring_policy import retries
 from ibisring_records import exceptions
@@ -28,26 +33,26 @@
     failure : retries.Failure
     detail : str
         For counting and logs; it may hold addresses.
-    culprit : str
+    failed_endpoint : str
         The endpoint at fault, or '' if it is not known.
     action : retries.Action or None
         What was decided about it.
     """
 
-    def __init__(self, failure, detail, culprit=''):
+    def __init__(self, failure, detail, failed_endpoint=''):
         super().__init__(detail)
         self.failure = failure
         self.detail = detail
-        self.culprit = culprit
+        self.failed_endpoint = failed_endpoint
         self.action = None
 
-    def for_caller(self):
+    def caller_detail(self):
         """Say what happened without addresses."""
-        name = self.culprit or 'the endpoint'
+        name = self.failed_endpoint or 'the endpoint'
         return f'{name} {_PHRASES[self.failure]}'
 
 
-def lost(error):
+def from_answer_lost(error):
     """Give the failure of an attempt whose answer did not come whole.
 
     Parameters
@@ -59,7 +64,7 @@
     return AttemptFailed(failure, str(error))
 
 
-def doubt(idempotent, detail):
+def uncertain_error(idempotent, detail):
     """Give the error of a request that may have run."""
     if idempotent:
         return exceptions.Interrupted(detail)
@@ -81,9 +86,9 @@
     IbisringError
     """
     outcome = retries.outcome_of(failed.failure, began)
-    detail = failed.for_caller()
+    detail = failed.caller_detail()
     if outcome is exceptions.Outcome.NOT_RUN:
         return exceptions.EndpointRefused(detail, retry_after=RETRY_AFTER)
     if outcome is exceptions.Outcome.FAILED:
         return exceptions.EndpointFailed(detail)
-    return doubt(idempotent, detail)
+    return uncertain_error(idempotent, detail)
--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -9,10 +9,10 @@
 from ibisring_records import exceptions
 from ibisring_records import records
 from ibisring_router import answershapes
-from ibisring_router import calling
 from ibisring_router import generating
 from ibisring_router import keyed as keyed_module
 from ibisring_router import requests
+from ibisring_router import servicecalls
 from ibisring_web import events
 from ibisring_web import routes
 from ibisring_web import serving
@@ -30,11 +30,11 @@
     Parameters
     ----------
     keeper : recordkeeping.RecordKeeper
-    generations : generating.Runner
-    services : calling.ServiceRunner
+    generations : generating.GenerationRunner
+    services : servicecalls.ServiceRunner
     keyed : keyed.KeyedRunner
     burn : burnkeeping.BurnKeeper
-    gate : gate.Gate
+    limiter : requestlimiter.RequestLimiter
     metrics : metrics.Metrics
     readiness : readiness.Readiness
     clock : callable
@@ -47,7 +47,7 @@
         services,
         keyed,
         burn,
-        gate,
+        limiter,
         metrics,
         readiness,
         clock=time.monotonic,
@@ -57,7 +57,7 @@
         self.services = services
         self.keyed = keyed
         self.burn = burn
-        self.gate = gate
+        self.limiter = limiter
         self.metrics = metrics
         self.readiness = readiness
         self.clock = clock
@@ -112,7 +112,7 @@
         )
         members = burn.group_members(target.model, terms.priority, account)
         wanted = burn.tightest_bound_seconds(configuration, members)
-        generation = generating.Generation(
+        generation = generating.GenerationRequest(
             requests.new_request_id(),
             account,
             target,
@@ -138,7 +138,7 @@
         return self._whole(request, tokens, shape)
 
     def _parts(self, request, service, terms, request_id, start):
-        """Yield the parts of an answer, counted and within the gate.
+        """Yield the parts of an answer, counted and within the limit on requests.
 
         Parameters
         ----------
@@ -152,7 +152,7 @@
         """
         started = self.clock()
         ended = exceptions.CallerGone('left before the end')
-        with self.gate.hold(terms.rank == URGENT_RANK):
+        with self.limiter.hold(terms.rank == URGENT_RANK):
             try:
                 yield from self._keyed(request, terms, request_id, start)
                 ended = None
@@ -241,7 +241,7 @@
         terms = requests.read_terms(
             request.headers, configuration, account, True, self.clock()
         )
-        call = calling.ServiceCall(
+        call = servicecalls.ServiceCall(
             requests.new_request_id(),
             account,
             target,
--- a/packages/router/ibisring_router/claiming.py
+++ b/packages/router/ibisring_router/claiming.py
@@ -133,7 +133,7 @@
         self.clock = clock
         self.wall_clock = time.time
         self.table_down_until = 0.0
-        self.unkept = {}
+        self.unsaved = {}
         self.actor = ClaimActor.start(window, clock)
         self.pool = concurrent.futures.ThreadPoolExecutor(POOL_THREADS)
 
@@ -141,7 +141,7 @@
         """Vote on a claim, as one of its voters."""
         return self.actor.ask(VoteRequest(claim))
 
-    def release_here(self, request):
+    def release_local(self, request):
         """Forget a claim that did not run."""
         self.actor.tell(request)
 
@@ -173,7 +173,7 @@
         )
         if decision.verdict is claims_module.Verdict.RUN:
             if table is claims_module.TableAnswer.DOWN:
-                self.unkept[claim.key] = claim
+                self.unsaved[claim.key] = claim
             return
         self.release(claim)
         if decision.verdict is claims_module.Verdict.HELD:
@@ -216,19 +216,19 @@
             return claims_module.TableAnswer.GRANTED, None
         return claims_module.TableAnswer.HELD, holder
 
-    def keep_unkept(self):
+    def save_unsaved(self):
         """Write claims made during an outage, now that it may be over.
 
         As many as the budget allows; the others wait for the next time.
         One that is older than any repeat may be needs no row any more.
         """
-        for key, claim in list(self.unkept.items()):
+        for key, claim in list(self.unsaved.items()):
             if self.wall_clock() - claim.made_at <= self.window:
                 try:
                     self._write_row(self.upkeep, claim)
                 except TABLE_ERRORS:
                     return
-            self.unkept.pop(key, None)
+            self.unsaved.pop(key, None)
 
     def sweep(self, wall_time):
         """Delete claim rows that are older than any repeat may be."""
@@ -274,8 +274,8 @@
         router that it holds nothing, and is answered `unknown`.
         """
         request = ReleaseRequest(claim.key, claim.id)
-        self.release_here(request)
-        self.unkept.pop(claim.key, None)
+        self.release_local(request)
+        self.unsaved.pop(claim.key, None)
         members = self.members() or {}
         asked = [
             self.pool.submit(self._release_one, members[name], request)
@@ -303,7 +303,7 @@
 
     # Owners
 
-    def ask_owner(self, holder, wait):
+    def query_owner(self, holder, wait):
         """Ask a claim's owner for its answer.
 
         Parameters
--- a/packages/router/ibisring_router/controlapi.py
+++ b/packages/router/ibisring_router/controlapi.py
@@ -112,7 +112,7 @@
 
     def settle(self, request, submission_id):
         self._check_operator(request)
-        accepted = self.keeper.settle(submission_id)
+        accepted = self.keeper.find_accepted(submission_id)
         if accepted is None:
             raise exceptions.NotFound(
                 f'submission {submission_id} was not accepted'
@@ -211,7 +211,7 @@
     def peer_release(self, request):
         self._check_peer(request)
         wanted = routes.read_body(request, claiming.ReleaseRequest)
-        self.claims.release_here(wanted)
+        self.claims.release_local(wanted)
         return routes.json_response({})
 
     def peer_answer(self, request, key):
--- a/packages/router/ibisring_router/engineclient.py
+++ b/packages/router/ibisring_router/engineclient.py
@@ -2,9 +2,9 @@
 
 __all__ = [
     'EngineClient',
-    'HttpEngines',
+    'HttpEngineClient',
     'parse_load',
-    'http_engines',
+    'make_engine_client',
 ]
 
 import abc
@@ -13,7 +13,7 @@
 from ibisring_backing import engines
 from ibisring_policy import retries
 from ibisring_records import exceptions
-from ibisring_router import endings
+from ibisring_router import attempterrors
 from ibisring_web import calls
 from ibisring_web import events
 import msgspec
@@ -71,7 +71,7 @@
         """Tell the head to stop an attempt; never raises."""
 
 
-class HttpEngines(EngineClient):
+class HttpEngineClient(EngineClient):
     """Engines over HTTP with server-sent events.
 
     Parameters
@@ -120,11 +120,11 @@
                 'POST', head.address, path, message, fresh=True
             )
         except calls.NotSent as error:
-            raise endings.AttemptFailed(
+            raise attempterrors.AttemptFailed(
                 retries.Failure.NOT_SENT, str(error)
             ) from error
         except calls.AnswerLost as error:
-            raise endings.lost(error) from error
+            raise attempterrors.from_answer_lost(error) from error
         if response.status != 200:
             raise _refusal(response, head.address)
         return response
@@ -135,9 +135,9 @@
             for data in events.decode(chunks):
                 yield _EVENT.decode(data)
         except calls.AnswerLost as error:
-            raise endings.lost(error) from error
+            raise attempterrors.from_answer_lost(error) from error
         except msgspec.MsgspecError as error:
-            raise endings.AttemptFailed(
+            raise attempterrors.AttemptFailed(
                 retries.Failure.CUT, f'damaged event: {error}'
             ) from error
         finally:
@@ -149,13 +149,15 @@
     try:
         data = calls.read_all(response, address)
     except calls.AnswerLost as error:
-        return endings.lost(error)
+        return attempterrors.from_answer_lost(error)
     error = calls.decode_error(data, response.status)
     if error.outcome is exceptions.Outcome.NOT_RUN:
-        return endings.AttemptFailed(retries.Failure.REFUSED, error.detail)
-    return endings.AttemptFailed(retries.Failure.FAILED, error.detail)
+        return attempterrors.AttemptFailed(
+            retries.Failure.REFUSED, error.detail
+        )
+    return attempterrors.AttemptFailed(retries.Failure.FAILED, error.detail)
 
 
-def http_engines(token_timeout, connect_timeout):
+def make_engine_client(token_timeout, connect_timeout):
     """Make the HTTP engine client."""
-    return HttpEngines(calls.make_caller(connect_timeout, token_timeout))
+    return HttpEngineClient(calls.make_caller(connect_timeout, token_timeout))
--- a/packages/router/ibisring_router/generating.py
+++ b/packages/router/ibisring_router/generating.py
@@ -1,6 +1,6 @@
 """Running a model request: attempts, resumption and one unbroken answer."""
 
-__all__ = ['Generation', 'Completed', 'Runner', 'make_runner']
+__all__ = ['GenerationRequest', 'Completed', 'GenerationRunner', 'make_runner']
 
 import math
 import random
@@ -13,13 +13,13 @@
 from ibisring_policy import retries
 from ibisring_policy import streams
 from ibisring_records import exceptions
-from ibisring_router import endings
+from ibisring_router import attempterrors
 import msgspec
 
 PROMPT_COST = 0.1
 
 
-class Generation(msgspec.Struct):
+class GenerationRequest(msgspec.Struct):
     """A model request; `deadline` is in seconds of the router's clock.
 
     So is `wanted_by`, the time that objectives ask for.
@@ -67,7 +67,7 @@
         return len(self.assembler.tokens) > self.delivered_before
 
 
-class Runner:
+class GenerationRunner:
     """Runs model requests; one runner serves all request threads.
 
     Parameters
@@ -80,7 +80,7 @@
 
     Attributes
     ----------
-    most_attempts : int
+    max_attempts : int
         1 switches resumptions and further attempts off.
     """
 
@@ -91,7 +91,7 @@
         self.clock = clock
         self.sleep = sleep
         self.rng = rng
-        self.most_attempts = retries.MAX_ATTEMPTS
+        self.max_attempts = retries.MAX_ATTEMPTS
         self.budget = retries.make_budget()
 
     def run(self, request, is_gone):
@@ -99,7 +99,7 @@
 
         Parameters
         ----------
-        request : Generation
+        request : GenerationRequest
         is_gone : callable
 
         Yields
@@ -119,7 +119,7 @@
             self._begin(progress, grant)
             try:
                 finish = yield from self._attempt(progress)
-            except endings.AttemptFailed as failed:
+            except attempterrors.AttemptFailed as failed:
                 self._after_failure(progress, failed)
                 continue
             yield Completed(
@@ -150,7 +150,7 @@
             return self.placement.place(ticket, is_gone)
         except exceptions.IbisringError as error:
             if progress.began:
-                raise endings.doubt(
+                raise attempterrors.uncertain_error(
                     request.idempotent, error.detail
                 ) from error
             raise
@@ -221,9 +221,9 @@
             finish = yield from self._with_resumes(progress)
             report.failure = None
             return finish
-        except endings.AttemptFailed as failed:
+        except attempterrors.AttemptFailed as failed:
             report.failure = failed.failure
-            report.failed_endpoint = failed.culprit
+            report.failed_endpoint = failed.failed_endpoint
             raise
         finally:
             report.seconds = self.clock() - started
@@ -241,8 +241,10 @@
         while True:
             try:
                 return (yield from self._follow(progress, source))
-            except endings.AttemptFailed as failed:
-                failed.culprit = self._culprit(progress, failed)
+            except attempterrors.AttemptFailed as failed:
+                failed.failed_endpoint = self._failed_endpoint(
+                    progress, failed
+                )
                 failed.action = self._decide(progress, failed.failure)
                 if failed.action is not retries.Action.RESUME:
                     raise
@@ -252,8 +254,8 @@
                 progress.order, len(progress.assembler.tokens)
             )
 
-    def _culprit(self, progress, failed):
-        return failed.culprit or progress.order.stages[0].endpoint
+    def _failed_endpoint(self, progress, failed):
+        return failed.failed_endpoint or progress.order.stages[0].endpoint
 
     def _follow(self, progress, source):
         """Yield what the assembler delivers, until the finish event."""
@@ -278,10 +280,10 @@
             else:
                 verdict = streams.Verdict.DROP
             if verdict is streams.Verdict.GAP:
-                raise endings.AttemptFailed(
+                raise attempterrors.AttemptFailed(
                     retries.Failure.CUT, 'tokens are missing'
                 )
-        raise endings.AttemptFailed(
+        raise attempterrors.AttemptFailed(
             retries.Failure.CUT, 'the stream ended before its finish'
         )
 
@@ -296,13 +298,13 @@
         tokens = len(progress.assembler.tokens)
         if not request.idempotent or tokens >= request.max_tokens:
             return
-        if progress.attempts >= self.most_attempts:
+        if progress.attempts >= self.max_attempts:
             return
         seconds = self.clock() - started
         if retries.is_slow(
             seconds, tokens - first - 1, progress.expected_pace
         ):
-            raise endings.AttemptFailed(
+            raise attempterrors.AttemptFailed(
                 retries.Failure.SLOW, 'the chain has become slow'
             )
 
@@ -310,7 +312,9 @@
         failure = retries.Failure.FAILED
         if event.code == engines.STAGE_LOST:
             failure = retries.Failure.STAGE_LOST
-        return endings.AttemptFailed(failure, event.detail, event.endpoint)
+        return attempterrors.AttemptFailed(
+            failure, event.detail, event.endpoint
+        )
 
     def _decide(self, progress, failure):
         if failure not in retries.NOT_RUN_FAILURES:
@@ -327,7 +331,7 @@
             progress.resumes,
             self.clock(),
             progress.request.deadline,
-            self.most_attempts,
+            self.max_attempts,
             progress.is_delivering(),
         )
         return retries.decide(situation, self.budget)
@@ -336,9 +340,9 @@
         """Prepare a new attempt, or raise the request's final error."""
         self.metrics.count(f'attempts.failed.{failed.failure}')
         if failed.failure is not retries.Failure.SLOW:
-            progress.avoid.add(failed.culprit)
+            progress.avoid.add(failed.failed_endpoint)
         if failed.action is not retries.Action.NEW_ATTEMPT:
-            raise endings.final_error(
+            raise attempterrors.final_error(
                 progress.request.idempotent, progress.began, failed
             )
         pause = retries.backoff(progress.attempts, self.rng)
@@ -352,4 +356,6 @@
     placement, client, metrics, clock=time.monotonic, sleep=time.sleep
 ):
     """Make the runner of model requests."""
-    return Runner(placement, client, metrics, clock, sleep, random.Random())
+    return GenerationRunner(
+        placement, client, metrics, clock, sleep, random.Random()
+    )
--- a/packages/router/ibisring_router/holding.py
+++ b/packages/router/ibisring_router/heldanswers.py
@@ -8,8 +8,8 @@
 from ibisring_records import exceptions
 import msgspec
 
-MOST_RUNNING = 2048
-MOST_BYTES = 48_000_000
+MAX_RUNNING = 2048
+MAX_BYTES = 48_000_000
 # What an answer and each of its parts take besides their text.
 ANSWER_BYTES = 2000
 PART_BYTES = 100
@@ -93,7 +93,7 @@
     window : float
         Seconds that an ended answer is kept.
     clock : callable
-    most_bytes : int
+    max_bytes : int
         Of ended answers.
 
     Notes
@@ -104,10 +104,10 @@
     answered `unknown` and does not run.
     """
 
-    def __init__(self, window, clock, most_bytes=MOST_BYTES):
+    def __init__(self, window, clock, max_bytes=MAX_BYTES):
         self.window = window
         self.clock = clock
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
         self.lock = threading.Lock()
         self.running = {}
         # By the time of their end.
@@ -135,7 +135,7 @@
             if held is not None:
                 check_fingerprint(held.fingerprint, fingerprint)
                 return held, False
-            if len(self.running) >= MOST_RUNNING:
+            if len(self.running) >= MAX_RUNNING:
                 raise exceptions.Overloaded(
                     'too many keyed requests run', retry_after=1.0
                 )
@@ -171,7 +171,7 @@
         while self.ended:
             oldest = next(iter(self.ended.values()))
             expired = now - oldest.ended_at >= self.window
-            if not expired and self.bytes <= self.most_bytes:
+            if not expired and self.bytes <= self.max_bytes:
                 return
             self.ended.popitem(last=False)
             self.bytes -= oldest.size()
--- a/packages/router/ibisring_router/keyed.py
+++ b/packages/router/ibisring_router/keyed.py
@@ -8,10 +8,10 @@
 
 from ibisring_policy import claims as claims_module
 from ibisring_records import exceptions
-from ibisring_router import calling
 from ibisring_router import claiming
 from ibisring_router import generating
-from ibisring_router import holding
+from ibisring_router import heldanswers
+from ibisring_router import servicecalls
 import msgspec
 import xxhash
 
@@ -20,7 +20,7 @@
 MOST_WAITING = 4
 
 # What parts of an answer look like between routers.
-_PART = Union[generating.Completed, calling.ServiceAnswer, str]
+_PART = Union[generating.Completed, servicecalls.ServiceAnswer, str]
 
 
 class KeyedRequest(msgspec.Struct):
@@ -52,19 +52,19 @@
 
     Parameters
     ----------
-    answers : holding.HeldAnswers
+    answers : heldanswers.HeldAnswers
     claims : claiming.Claims
-    gate : gate.Gate
+    limiter : requestlimiter.RequestLimiter
     metrics : metrics.Metrics
     owner : callable
         Gives the 'IP:PORT' where peers ask this router.
     clock, sleep : callable
     """
 
-    def __init__(self, answers, claims, gate, metrics, owner, clock, sleep):
+    def __init__(self, answers, claims, limiter, metrics, owner, clock, sleep):
         self.answers = answers
         self.claims = claims
-        self.gate = gate
+        self.limiter = limiter
         self.metrics = metrics
         self.owner = owner
         self.clock = clock
@@ -100,7 +100,7 @@
     def _produce(self, key, held, request, start):
         error = None
         claim = None
-        with self.gate.track():
+        with self.limiter.track():
             try:
                 if not request.idempotent:
                     claim = self._claim(key, request)
@@ -147,7 +147,7 @@
         """
         self.metrics.count('keyed.held_elsewhere')
         try:
-            holding.check_fingerprint(
+            heldanswers.check_fingerprint(
                 holder.fingerprint, request.fingerprint()
             )
         except exceptions.KeyReused as error:
@@ -175,7 +175,7 @@
             return None
         while True:
             left = request.deadline - self.clock()
-            view = self.claims.ask_owner(holder, min(LONGEST_WAIT, left))
+            view = self.claims.query_owner(holder, min(LONGEST_WAIT, left))
             if view is None or view.state is not claiming.HeldState.RUNNING:
                 return view
             if left <= ASK_PAUSE:
@@ -217,11 +217,11 @@
 def make_runner(
     answers,
     claims,
-    gate,
+    limiter,
     metrics,
     owner,
     clock=time.monotonic,
     sleep=time.sleep,
 ):
     """Make the runner of keyed requests."""
-    return KeyedRunner(answers, claims, gate, metrics, owner, clock, sleep)
+    return KeyedRunner(answers, claims, limiter, metrics, owner, clock, sleep)
--- a/packages/router/ibisring_router/main.py
+++ b/packages/router/ibisring_router/main.py
@@ -138,7 +138,7 @@
     site.platform.vms.listed = [
         vms.Vm(settings.router_id, settings.advertise, settings.failure_domain)
     ]
-    router.peering.refresh_list()
+    router.peering.refresh_vm_list()
 
 
 def _announce(router, site):
--- a/packages/router/ibisring_router/peering.py
+++ b/packages/router/ibisring_router/peering.py
@@ -145,7 +145,7 @@
         self.instance = uuid.uuid4().hex
         self.started_at = clock()
         self.rounds = 0
-        self.listed_routers = 0
+        self.listed_router_count = 0
         self.actor = MembershipActor.start(
             settings.router_id, settings.most_peers, clock
         )
@@ -181,7 +181,7 @@
 
     # Probing
 
-    def refresh_list_in_turn(self):
+    def refresh_vm_list_when_due(self):
         """Read the VM list, the less often the longer it is.
 
         At 380 VMs a read is some 40 KB; read every 2 s by each router it
@@ -190,16 +190,16 @@
         size = self.read(lambda members: len(members.members))
         self.rounds += 1
         if self.rounds % max(1, size // VMS_A_ROUND) == 0:
-            self.refresh_list()
+            self.refresh_vm_list()
 
-    def refresh_list(self):
+    def refresh_vm_list(self):
         """Read the VM list; keep the last one while it is unavailable."""
         try:
             listed = self.vm_list.read()
         except exceptions.IbisringError:
             self.metrics.count('vms.unavailable')
             return
-        self.listed_routers = len(listed) or self.listed_routers
+        self.listed_router_count = len(listed) or self.listed_router_count
         self.actor.tell(Listed(listed))
 
     def probe(self):
@@ -257,7 +257,7 @@
     def receive(self, pushed):
         """Take in pushed changes, and pass on what was news."""
         before = self.keeper.revision
-        after = self.keeper.offer_changes(pushed.changes)
+        after = self.keeper.apply_changes(pushed.changes)
         if after > before:
             news = [c for c in pushed.changes if c.revision > before]
             self.push(news)
@@ -282,7 +282,7 @@
             found = self.caller.call(
                 'GET', address, path, cls=recordkeeping.ChangeList
             )
-            self.keeper.offer_changes(found.changes)
+            self.keeper.apply_changes(found.changes)
         except exceptions.NotFound:
             self._catch_up_whole(address)
         except (calls.CallError, exceptions.IbisringError):
@@ -299,7 +299,7 @@
         except (calls.CallError, exceptions.IbisringError):
             self.metrics.count('peers.catch_up_failed')
             return
-        self.keeper.offer_snapshot(snapshot)
+        self.keeper.apply_snapshot(snapshot)
 
     def stop(self):
         self.pool.shutdown(wait=False, cancel_futures=True)
--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -12,14 +12,12 @@
 from ibisring_records import exceptions
 from ibisring_router import burnkeeping
 from ibisring_router import callerapi
-from ibisring_router import calling
 from ibisring_router import claiming
 from ibisring_router import controlapi
 from ibisring_router import dispatching
 from ibisring_router import engineclient
-from ibisring_router import gate
 from ibisring_router import generating
-from ibisring_router import holding
+from ibisring_router import heldanswers
 from ibisring_router import keyed
 from ibisring_router import logs
 from ibisring_router import metrics
@@ -29,6 +27,8 @@
 from ibisring_router import readiness
 from ibisring_router import reconciling
 from ibisring_router import recordkeeping
+from ibisring_router import requestlimiter
+from ibisring_router import servicecalls
 from ibisring_router import settings as settings_module
 from ibisring_router import statuspolling
 from ibisring_router import storebudget
@@ -71,7 +71,7 @@
         self.placement = dispatching.start_dispatcher(settings.router_id)
         self.keeper.listeners.append(self.placement.configure)
         self.readiness = readiness.make_readiness(self.keeper)
-        self.gate = gate.make_gate(
+        self.limiter = requestlimiter.make_request_limiter(
             settings.caller_threads, settings.urgent_threads
         )
         self.peering = self._make_peering()
@@ -87,7 +87,7 @@
             self._control_caller(STATUS_TIMEOUT),
         )
         self.reconciler = self._make_reconciler()
-        self.poller.ordered_by_us = self.reconciler.orders_endpoint
+        self.poller.holds_lease_of = self.reconciler.holds_lease_of
         self.callers = self._make_caller_listener()
         self.control = self._make_control_listener()
         self.periodics = []
@@ -101,7 +101,7 @@
 
     def _routers(self):
         """Give how many routers the VM list names, 0 if never read."""
-        return self.peering.listed_routers
+        return self.peering.listed_router_count
 
     def _make_peering(self):
         platform = self.settings.platform
@@ -126,13 +126,13 @@
         )
 
     def _make_keyed(self):
-        answers = holding.make_answers(
+        answers = heldanswers.make_answers(
             self.settings.claim_seconds, time.monotonic
         )
         return keyed.make_runner(
             answers,
             self.claims,
-            self.gate,
+            self.limiter,
             self.metrics,
             lambda: self.settings.advertise,
         )
@@ -166,14 +166,14 @@
 
     def _make_caller_listener(self):
         settings = self.settings
-        client = engineclient.http_engines(
+        client = engineclient.make_engine_client(
             settings.token_timeout, settings.connect_timeout
         )
         generations = generating.make_runner(
             self.placement, client, self.metrics
         )
-        generations.most_attempts = settings.most_attempts
-        services = calling.make_runner(
+        generations.max_attempts = settings.most_attempts
+        services = servicecalls.make_runner(
             self.placement,
             calls.make_caller(settings.connect_timeout),
             self.metrics,
@@ -185,7 +185,7 @@
             services,
             self.keyed,
             self.burn,
-            self.gate,
+            self.limiter,
             self.metrics,
             self.readiness,
         )
@@ -246,7 +246,7 @@
         _open(self.control, 'control_listen', self.settings.control_listen)
         if not self.settings.advertise:
             self.settings.advertise = self.control.address
-        self.peering.refresh_list()
+        self.peering.refresh_vm_list()
         self._follow()
         self.peering.probe()
         self.poller.poll()
@@ -255,11 +255,11 @@
         for seconds, function in (
             (TICK_SECONDS, self.placement.tick),
             (settings.poll_seconds, self._follow),
-            (settings.poll_seconds, self.peering.refresh_list_in_turn),
+            (settings.poll_seconds, self.peering.refresh_vm_list_when_due),
             (settings.probe_seconds, self.peering.probe),
             (settings.status_seconds, self.poller.poll),
-            (settings.poll_seconds, self.claims.keep_unkept),
-            (settings.lease_seconds / 6, self.reconciler.round),
+            (settings.poll_seconds, self.claims.save_unsaved),
+            (settings.lease_seconds / 6, self.reconciler.run_round),
             (BURN_SECONDS, self.burn.keep),
             (SWEEP_SECONDS, self._sweep_claims),
             (MERGE_SECONDS, self._merge_burn),
@@ -282,7 +282,7 @@
 
     def _sweep_claims(self):
         """Delete old claim rows; one router of the fleet does it."""
-        if not self.reconciler.holds(SWEEPING_SHARE):
+        if not self.reconciler.holds_share(SWEEPING_SHARE):
             return
         try:
             self.claims.sweep(time.time())
@@ -296,7 +296,9 @@
         more than one router's control traffic of that time.
         """
         self.burn.merge(
-            lambda period: self.reconciler.holds(period % reconciling.SHARES)
+            lambda period: self.reconciler.holds_share(
+                period % reconciling.SHARE_COUNT
+            )
         )
 
     def drain(self, sleep=time.sleep):
@@ -308,7 +310,7 @@
         self.readiness.draining = True
         logs.event(LOG, 'router_draining')
         sleep(self.settings.drain_seconds)
-        whole = self.gate.wait_until_empty(self.settings.drain_limit)
+        whole = self.limiter.wait_until_empty(self.settings.drain_limit)
         logs.event(LOG, 'router_drained', whole=whole)
         self._hand_over()
         self.stop()
--- a/packages/router/ibisring_router/reconciling.py
+++ b/packages/router/ibisring_router/reconciling.py
@@ -17,7 +17,7 @@
 import msgspec
 
 LOG = logging.getLogger(__name__)
-SHARES = 16
+SHARE_COUNT = 16
 RELEASE_TRIES = 3
 LEASE_PREFIX = 'leases/'
 TABLE_ERRORS = (
@@ -27,17 +27,17 @@
 )
 
 
-class Round(msgspec.Struct):
+class RunRound(msgspec.Struct):
     """Asks for one round of reading, renewing and taking leases."""
 
     members: list[str]
 
 
-class Release(msgspec.Struct):
+class ReleaseLeases(msgspec.Struct):
     """Hands all held leases over."""
 
 
-class Held(msgspec.Struct):
+class GetLeases(msgspec.Struct):
     """Asks for the leases, by share."""
 
 
@@ -62,14 +62,15 @@
         self.release_table = release_table
         self.clock = clock
         self.leases = {
-            share: leases.Lease(own_id, seconds) for share in range(SHARES)
+            share: leases.Lease(own_id, seconds)
+            for share in range(SHARE_COUNT)
         }
 
     def handlers(self):
         return {
-            Round: self.on_round,
-            Release: self.on_release,
-            Held: self.on_held,
+            RunRound: self.on_round,
+            ReleaseLeases: self.on_release,
+            GetLeases: self.on_get_leases,
         }
 
     def on_round(self, message):
@@ -99,7 +100,7 @@
                 self._release(share)
         return self._own_terms()
 
-    def on_held(self, message):
+    def on_get_leases(self, message):
         return self.leases
 
     def _contends(self, share, members):
@@ -198,26 +199,26 @@
         self.members = members
         self.metrics = metrics
         self.clock = clock
-        self.budget = orders.WeightFetchBudget(SHARES)
+        self.budget = orders.WeightFetchBudget(SHARE_COUNT)
         self.idle = orders.IdleTracker()
         self.held = set()
 
-    def round(self):
+    def run_round(self):
         """Renew and take leases, then put engines right."""
         try:
-            self.actor.ask(Round(self.members()))
+            self.actor.ask(RunRound(self.members()))
         except TABLE_ERRORS:
             # Leases lapse by themselves; routing goes on without orders.
             self.metrics.count('leases.table_unavailable')
         configuration = self.keeper.current
         if configuration is None:
             return
-        held = self.actor.ask(Held())
+        held = self.actor.ask(GetLeases())
         self.held = {
             share for share, lease in held.items() if lease.holds(self.clock())
         }
         for endpoint in configuration.endpoints.values():
-            share = leases.share_of(endpoint.name, SHARES)
+            share = leases.share_of(endpoint.name, SHARE_COUNT)
             if held[share].holds(self.clock()):
                 self._reconcile(endpoint, share, held[share], configuration)
 
@@ -283,20 +284,20 @@
             return
         self.poller.statuses[endpoint.name] = report.status
 
-    def holds(self, share):
+    def holds_share(self, share):
         """Say whether this router holds a share's lease now."""
         return share in self.held
 
-    def orders_endpoint(self, name):
+    def holds_lease_of(self, name):
         """Say whether this router holds the lease of an endpoint's share."""
-        return self.holds(leases.share_of(name, SHARES))
+        return self.holds_share(leases.share_of(name, SHARE_COUNT))
 
     def release(self):
         """Hand all leases over, for a graceful shutdown.
 
         What can't be handed over, others wait out.
         """
-        left = self.actor.ask(Release())
+        left = self.actor.ask(ReleaseLeases())
         if left:
             self.metrics.count('leases.not_released', len(left))
             logs.event(LOG, 'leases_not_released', shares=left)
--- a/packages/router/ibisring_router/recordkeeping.py
+++ b/packages/router/ibisring_router/recordkeeping.py
@@ -39,11 +39,11 @@
     changes: list[records.Change]
 
 
-class OfferChanges(msgspec.Struct):
+class ApplyChanges(msgspec.Struct):
     changes: list[records.Change]
 
 
-class OfferSnapshot(msgspec.Struct):
+class ApplySnapshot(msgspec.Struct):
     snapshot: Snapshot
 
 
@@ -67,42 +67,42 @@
     def __init__(self, published):
         super().__init__()
         self.published = published
-        self.in_force = revisions.make_records()
+        self.active_records = revisions.make_records()
 
     def handlers(self):
         return {
-            OfferChanges: self.on_offer_changes,
-            OfferSnapshot: self.on_offer_snapshot,
+            ApplyChanges: self.on_apply_changes,
+            ApplySnapshot: self.on_apply_snapshot,
             ChangesSince: self.on_changes_since,
             TakeSnapshot: self.on_take_snapshot,
         }
 
-    def on_offer_changes(self, message):
+    def on_apply_changes(self, message):
         """Apply what follows; the answer is the revision in force."""
-        before = self.in_force.revision
+        before = self.active_records.revision
         for change in message.changes:
-            self.in_force.apply_change(change)
+            self.active_records.apply_change(change)
         self._publish(before)
-        return self.in_force.revision
+        return self.active_records.revision
 
-    def on_offer_snapshot(self, message):
-        before = self.in_force.revision
+    def on_apply_snapshot(self, message):
+        before = self.active_records.revision
         snapshot = message.snapshot
-        self.in_force.apply_snapshot(snapshot.revision, snapshot.records)
+        self.active_records.apply_snapshot(snapshot.revision, snapshot.records)
         self._publish(before)
-        return self.in_force.revision
+        return self.active_records.revision
 
     def on_changes_since(self, message):
-        return self.in_force.changes_since(message.revision)
+        return self.active_records.changes_since(message.revision)
 
     def on_take_snapshot(self, message):
-        stored = list(self.in_force.stored.values())
-        return Snapshot(self.in_force.revision, stored)
+        stored = list(self.active_records.stored.values())
+        return Snapshot(self.active_records.revision, stored)
 
     def _publish(self, before):
-        if self.in_force.revision == before:
+        if self.active_records.revision == before:
             return
-        configuration = self.in_force.build()
+        configuration = self.active_records.build()
         logs.event(
             LOG,
             'configuration_in_force',
@@ -158,13 +158,13 @@
             )
         return self.current
 
-    def offer_changes(self, changes):
+    def apply_changes(self, changes):
         """Apply changes that follow on; give the revision in force."""
-        return self.actor.ask(OfferChanges(changes))
+        return self.actor.ask(ApplyChanges(changes))
 
-    def offer_snapshot(self, snapshot):
+    def apply_snapshot(self, snapshot):
         """Take a newer snapshot; give the revision in force."""
-        return self.actor.ask(OfferSnapshot(snapshot))
+        return self.actor.ask(ApplySnapshot(snapshot))
 
     def changes_since(self, revision):
         """Give the changes after a revision, or None."""
@@ -212,7 +212,7 @@
             rows = self.table.read(keys)
             found = [rows[key].value for key in keys if key in rows]
             changes = msgspec.convert(found, list[records.Change])
-            if self.offer_changes(changes) >= revision:
+            if self.apply_changes(changes) >= revision:
                 return
         self._fetch_all()
 
@@ -229,7 +229,7 @@
                 stored = msgspec.convert(
                     [row.value for row in rows], list[records.Stored]
                 )
-                self.offer_snapshot(Snapshot(before, stored))
+                self.apply_snapshot(Snapshot(before, stored))
                 return
 
     def _head_revision(self):
@@ -257,7 +257,7 @@
         NotAccepted
             The table service certainly does not hold it.
         SubmissionUnknown
-            It may; `settle` will tell.
+            It may; `find_accepted` will tell.
         """
         submitting.check(submission)
         try:
@@ -283,7 +283,7 @@
             seen = self._check_unmoved(submission, values, seen)
             change = submitting.prepare(submission, values)
             if self._commit(submission, change, rows):
-                self.offer_changes([change])
+                self.apply_changes([change])
                 accepted = records.Accepted(submission.id, change.revision)
                 return accepted, change
         raise exceptions.NotAccepted(
@@ -348,14 +348,14 @@
         """Find out whether a commit whose answer was lost took effect."""
         self.doubted.add(submission.id)
         try:
-            accepted = self.settle(submission.id)
+            accepted = self.find_accepted(submission.id)
         except exceptions.PlatformUnavailable as error:
             raise exceptions.SubmissionUnknown(
                 cause.detail, submission=submission.id
             ) from error
         return accepted is not None
 
-    def settle(self, submission_id):
+    def find_accepted(self, submission_id):
         """Give the `records.Accepted` of a submission, or None.
 
         Raises
--- a/packages/router/ibisring_router/gate.py
+++ b/packages/router/ibisring_router/requestlimiter.py
@@ -1,6 +1,6 @@
 """Keeps threads free for urgent requests, and counts what is in flight."""
 
-__all__ = ['Gate', 'make_gate']
+__all__ = ['RequestLimiter', 'make_request_limiter']
 
 import contextlib
 import threading
@@ -10,7 +10,7 @@
 RETRY_AFTER = 1.0
 
 
-class Gate:
+class RequestLimiter:
     """Bounds the requests that hold a caller thread.
 
     Parameters
@@ -43,11 +43,11 @@
         ------
         Overloaded
         """
-        self.enter(is_urgent)
+        self.acquire(is_urgent)
         try:
             yield
         finally:
-            self.leave()
+            self.release()
 
     @contextlib.contextmanager
     def track(self):
@@ -61,8 +61,8 @@
                 self.tracked -= 1
                 self.condition.notify_all()
 
-    def enter(self, is_urgent):
-        """Take a place; `leave` must follow."""
+    def acquire(self, is_urgent):
+        """Take a place; `release` must follow."""
         with self.condition:
             most = self.threads if is_urgent else self.threads - self.urgent
             if self.busy >= most:
@@ -72,7 +72,7 @@
                 )
             self.busy += 1
 
-    def leave(self):
+    def release(self):
         """Give a place back."""
         with self.condition:
             self.busy -= 1
@@ -86,6 +86,6 @@
             )
 
 
-def make_gate(threads, urgent):
+def make_request_limiter(threads, urgent):
     """Make a gate."""
-    return Gate(threads, urgent)
+    return RequestLimiter(threads, urgent)
--- a/packages/router/ibisring_router/calling.py
+++ b/packages/router/ibisring_router/servicecalls.py
@@ -11,7 +11,7 @@
 from ibisring_policy import dispatch
 from ibisring_policy import retries
 from ibisring_records import exceptions
-from ibisring_router import endings
+from ibisring_router import attempterrors
 from ibisring_router import engineclient
 from ibisring_web import calls
 import msgspec
@@ -91,7 +91,7 @@
             try:
                 body = self._attempt(request, attempt, endpoint)
                 return ServiceAnswer(body, attempt)
-            except endings.AttemptFailed as failed:
+            except attempterrors.AttemptFailed as failed:
                 began = began or failed.failure not in retries.NOT_RUN_FAILURES
                 avoid.add(endpoint.name)
                 self._after_failure(request, attempt, began, failed)
@@ -112,7 +112,7 @@
             return self.placement.place(ticket, is_gone).endpoints[0]
         except exceptions.IbisringError as error:
             if began:
-                raise endings.doubt(
+                raise attempterrors.uncertain_error(
                     request.idempotent, error.detail
                 ) from error
             raise
@@ -126,9 +126,9 @@
             body = self._send(request, attempt, endpoint)
             report.failure = None
             return body
-        except endings.AttemptFailed as failed:
+        except attempterrors.AttemptFailed as failed:
             report.failure = failed.failure
-            failed.culprit = endpoint.name
+            failed.failed_endpoint = endpoint.name
             raise
         finally:
             report.seconds = self.clock() - started
@@ -154,11 +154,11 @@
             )
             data = calls.read_all(response, address)
         except calls.NotSent as error:
-            raise endings.AttemptFailed(
+            raise attempterrors.AttemptFailed(
                 retries.Failure.NOT_SENT, str(error)
             ) from error
         except calls.AnswerLost as error:
-            raise endings.lost(error) from error
+            raise attempterrors.from_answer_lost(error) from error
         self._observe(endpoint, response)
         if response.status >= 300:
             raise _sorted_error(data, response.status)
@@ -189,7 +189,7 @@
             left = max(0.0, request.deadline - self.clock())
             self.sleep(min(left, retries.backoff(attempt, self.rng)))
             return
-        raise endings.final_error(request.idempotent, began, failed)
+        raise attempterrors.final_error(request.idempotent, began, failed)
 
 
 def _sorted_error(data, status):
@@ -198,7 +198,7 @@
         failure = retries.Failure.REFUSED
     else:
         failure = retries.Failure.FAILED
-    return endings.AttemptFailed(failure, error.detail)
+    return attempterrors.AttemptFailed(failure, error.detail)
 
 
 def make_runner(
--- a/packages/router/ibisring_router/statuspolling.py
+++ b/packages/router/ibisring_router/statuspolling.py
@@ -42,7 +42,7 @@
     return held == wanted and set(spec.adapters) <= set(status.adapters)
 
 
-def turns_for(count):
+def poll_cycle_rounds(count):
     """Give the rounds in which all settled endpoints get their turn.
 
     Few are polled in a round however many there are: at 180 endpoints a
@@ -83,7 +83,7 @@
     ----------
     statuses : dict of str to engines.EngineStatus
         The last of each endpoint.
-    ordered_by_us : callable
+    holds_lease_of : callable
         From an endpoint's name, whether its share's lease is held here.
     """
 
@@ -96,7 +96,7 @@
         # The record that each endpoint was ready for when last polled.
         self.settled = {}
         self.round_number = 0
-        self.ordered_by_us = lambda name: False
+        self.holds_lease_of = lambda name: False
         self.pool = concurrent.futures.ThreadPoolExecutor(POLL_THREADS)
 
     def poll(self):
@@ -111,9 +111,9 @@
         watched = [
             endpoint
             for endpoint in every
-            if endpoint.name in names or self.ordered_by_us(endpoint.name)
+            if endpoint.name in names or self.holds_lease_of(endpoint.name)
         ]
-        turns = turns_for(len(watched))
+        turns = poll_cycle_rounds(len(watched))
         due = [
             endpoint
             for endpoint in watched
--- a/packages/router/ibisring_router/tests/builders.py
+++ b/packages/router/ibisring_router/tests/builders.py
@@ -82,7 +82,7 @@
         for router in routers
     ]
     for router in routers:
-        router.peering.refresh_list()
+        router.peering.refresh_vm_list()
         router.peering.probe()
 
 
@@ -100,7 +100,7 @@
 
 def held_leases():
     """Give the message that asks a lease actor for its leases."""
-    return reconciling.Held()
+    return reconciling.GetLeases()
 
 
 def peer_state(router_id):
@@ -132,7 +132,7 @@
         'max_tokens': 12,
         **changes,
     }
-    return generating.Generation(id=request_id, **given)
+    return generating.GenerationRequest(id=request_id, **given)
 
 
 def post(router, path, body, account='cocina-1', **headers):
--- a/packages/router/ibisring_router/tests/fakes.py
+++ b/packages/router/ibisring_router/tests/fakes.py
@@ -10,7 +10,7 @@
 from ibisring_policy import dispatch
 from ibisring_policy import retries
 from ibisring_records import exceptions
-from ibisring_router import endings
+from ibisring_router import attempterrors
 from ibisring_router import engineclient
 from ibisring_router import generating
 from ibisring_router import metrics
@@ -92,7 +92,7 @@
         }
         self.channel = FaultyEngines(self.engines, self.clock)
         self.metrics = metrics.make_metrics()
-        self.runner = generating.Runner(
+        self.runner = generating.GenerationRunner(
             DirectPlacement(self.dispatcher, self.clock),
             self.channel,
             self.metrics,
@@ -178,7 +178,7 @@
 
     def _fail(self, failure, fault):
         self.applied[fault] += 1
-        raise endings.AttemptFailed(failure, str(fault))
+        raise attempterrors.AttemptFailed(failure, str(fault))
 
     def _check_head(self, order):
         if order.stages[0].endpoint in self.dead:
--- a/packages/router/ibisring_router/tests/test_claiming_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_claiming_fuzz.py
@@ -41,7 +41,7 @@
     'heal',
     'replace_router',
     'rolling_restart',
-    'keep_unkept',
+    'save_unsaved',
     'sweep',
     'pause',
     'wait',
@@ -65,7 +65,7 @@
         if path == '/peer/claims':
             answer = claims.vote(value.claim)
         else:
-            answer = claims.release_here(value)
+            answer = claims.release_local(value)
         if pair in self.machine.lossy:
             TOTALS['lost'] += 1
             raise calls.AnswerLost(address)
@@ -224,9 +224,9 @@
         for router in range(ROUTERS):
             self.replace_router(router)
 
-    def keep_unkept(self, router, *_):
+    def save_unsaved(self, router, *_):
         self.table.faults.down = False
-        self.claims[router].keep_unkept()
+        self.claims[router].save_unsaved()
         for run in self.ran:
             run.kept = run.kept or self.is_kept(run.claim)
 
--- a/packages/router/ibisring_router/tests/test_configuration.py
+++ b/packages/router/ibisring_router/tests/test_configuration.py
@@ -93,7 +93,7 @@
     """
     site.platform.table.faults = faults.PlatformFaults(lose_answers=1)
     revision = submit(fleet[0], model(3))
-    assert fleet[0].keeper.settle('s1').revision == revision
+    assert fleet[0].keeper.find_accepted('s1').revision == revision
 
 
 def test_submission_during_an_outage_is_not_accepted(site, fleet):
@@ -125,7 +125,7 @@
     with pytest.raises(exceptions.SubmissionUnknown):
         keeper.submit(submission)
     table.faults.down = False
-    assert keeper.settle('s1').revision == 1
+    assert keeper.find_accepted('s1').revision == 1
     assert keeper.submit(submission)[0].revision == 1
     keeper.stop()
 
@@ -145,7 +145,7 @@
 def test_unreadable_record_is_kept_and_reported(site, fleet):
     row = records.Stored('endpoint', 'futuro', 'v9', {'x': 1}, 2, 'other-tool')
     change = records.Change(2, 'other-tool', [row])
-    fleet[0].keeper.offer_changes([change])
+    fleet[0].keeper.apply_changes([change])
     current = fleet[0].keeper.current
     assert list(current.unreadable) == ['endpoint/futuro']
     kept = fleet[0].keeper.snapshot().records
@@ -160,7 +160,7 @@
     """
     old = fleet[0].keeper.snapshot()
     revision = submit(fleet[0], model(3))
-    fleet[0].keeper.offer_snapshot(old)
+    fleet[0].keeper.apply_snapshot(old)
     assert fleet[0].keeper.revision == revision
     site.platform.table.rows.clear()
     fleet[0].keeper.follow()
@@ -221,7 +221,7 @@
     assert not ready
     for each in fleet:
         each.poller.poll()
-        each.reconciler.round()
+        each.reconciler.run_round()
     assert status.loaded
     assert status.fencing >= 1
     router.poller.poll()
@@ -273,22 +273,22 @@
     for router in fleet:
         router.poller.settled.clear()
         router.poller.poll()
-        router.reconciler.round()
+        router.reconciler.run_round()
 
 
 def test_leases_move_when_they_are_handed_over(site, fleet):
     for router in fleet:
-        router.reconciler.round()
+        router.reconciler.run_round()
     held = holders(fleet)
-    assert len(held) == reconciling.SHARES
+    assert len(held) == reconciling.SHARE_COUNT
     leaver = fleet[held[0]]
     leaver.readiness.draining = True
     leaver.reconciler.release()
     others = [router for router in fleet if router is not leaver]
     for router in others:
         router.peering.probe()
-        router.reconciler.round()
-    assert set(holders(fleet)) == set(range(reconciling.SHARES))
+        router.reconciler.run_round()
+    assert set(holders(fleet)) == set(range(reconciling.SHARE_COUNT))
     assert leaver not in {fleet[i] for i in holders(fleet).values()}
 
 
@@ -327,7 +327,7 @@
 
 
 def test_settled_endpoint_is_polled_by_turns():
-    turns = statuspolling.turns_for(8)
+    turns = statuspolling.poll_cycle_rounds(8)
     rounds = [
         n for n in range(30) if statuspolling.is_due('e', n, True, turns)
     ]
--- a/packages/router/ibisring_router/tests/test_failures.py
+++ b/packages/router/ibisring_router/tests/test_failures.py
@@ -252,7 +252,7 @@
             b'Content-Length: %d\r\n\r\n' % len(body) + body
         )
         assert sock.recv(64)
-    assert router.gate.wait_until_empty(10)
+    assert router.limiter.wait_until_empty(10)
     cancelled = threading.Event()
     while not cancelled.wait(0.01):
         if sum(s.cancelled for s in site.engines.values()):
@@ -267,15 +267,15 @@
     Sequence: slow streams take every thread that serves callers.
     Cause: one pool for all, with no place kept for urgent requests.
     """
-    places = router.gate.threads - router.gate.urgent
+    places = router.limiter.threads - router.limiter.urgent
     for _ in range(places):
-        router.gate.enter(is_urgent=False)
+        router.limiter.acquire(is_urgent=False)
     try:
         refused = complete(router)
         urgent = builders.post(router, SERVICE, {'lote': 3})
     finally:
         for _ in range(places):
-            router.gate.leave()
+            router.limiter.release()
     assert refused.json()['error']['code'] == 'overloaded'
     assert refused.json()['error']['outcome'] == 'not_run'
     assert refused.headers['Retry-After']
--- a/packages/router/ibisring_router/tests/test_generating_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_generating_fuzz.py
@@ -287,13 +287,13 @@
 
 
 def prefill_without_the_first_token(monkeypatch):
-    begin = generating.Runner._begin
+    begin = generating.GenerationRunner._begin
 
     def forgetful(self, progress, grant):
         begin(self, progress, grant)
         del progress.order.delivered[:1]
 
-    monkeypatch.setattr(generating.Runner, '_begin', forgetful)
+    monkeypatch.setattr(generating.GenerationRunner, '_begin', forgetful)
 
 
 def leave_endpoints_held(monkeypatch):
--- a/packages/router/ibisring_router/tests/test_holding.py
+++ b/packages/router/ibisring_router/tests/test_heldanswers.py
@@ -5,16 +5,16 @@
 import pytest
 
 from ibisring_records import exceptions
-from ibisring_router import holding
+from ibisring_router import heldanswers
 
 WINDOW = 600.0
 STORM = 10_000
 TEXT = 'x' * 1000
 
 
-def make_answers(now, most_bytes=holding.MOST_BYTES):
+def make_answers(now, max_bytes=heldanswers.MAX_BYTES):
     """Make held answers whose clock is the first item of a list."""
-    return holding.HeldAnswers(WINDOW, lambda: now[0], most_bytes)
+    return heldanswers.HeldAnswers(WINDOW, lambda: now[0], max_bytes)
 
 
 def answer(answers, key, text=TEXT):
@@ -38,12 +38,12 @@
         now[0] = number / 17.0
         answer(answers, f'alerta-{number}', '{"entregado": true}')
     assert len(answers.ended) == STORM
-    assert answers.bytes <= holding.MOST_BYTES
+    assert answers.bytes <= heldanswers.MAX_BYTES
 
 
 def test_oldest_ended_answers_make_room():
     now = [0.0]
-    answers = make_answers(now, most_bytes=5 * (len(TEXT) + 2100))
+    answers = make_answers(now, max_bytes=5 * (len(TEXT) + 2100))
     running, _ = answers.open('running', 'print')
     for number in range(20):
         answer(answers, number)
@@ -87,7 +87,7 @@
 )
 def test_bytes_are_those_of_the_ended_answers(steps):
     now = [0.0]
-    answers = make_answers(now, most_bytes=12_000)
+    answers = make_answers(now, max_bytes=12_000)
     for step, key, size in steps:
         if step == 'open' and answers.get(key) is None:
             answers.open(key, 'print')[0].add('x' * size)
--- a/packages/router/ibisring_router/tests/test_keyed.py
+++ b/packages/router/ibisring_router/tests/test_keyed.py
@@ -166,9 +166,9 @@
     builders.post(fleet[0], PATH, ALERT, Idempotency_Key='a8')
     set_table(site)
     fleet[0].claims.window = 600.0
-    fleet[0].claims.keep_unkept()
+    fleet[0].claims.save_unsaved()
     assert site.platform.table.scan('claims/')
-    assert not fleet[0].claims.unkept
+    assert not fleet[0].claims.unsaved
 
 
 def spend_budget(router, writes):
@@ -197,7 +197,7 @@
     assert [answer.status for answer in answers] == [200, 200]
     assert len(builders.service_runs(site)) == 1
     assert (
-        list(fleet[0].claims.unkept) and not fleet[0].claims.table_down_until
+        list(fleet[0].claims.unsaved) and not fleet[0].claims.table_down_until
     )
 
 
@@ -218,13 +218,13 @@
     router.claims.window = 600.0
     spend_budget(router, 4)
     set_table(site)
-    router.claims.keep_unkept()
+    router.claims.save_unsaved()
     assert not site.platform.table.scan('claims/')
     left = []
     for second in range(1, 7):
         router.store_budget.clock = lambda now=float(second): now
-        router.claims.keep_unkept()
-        left.append(len(router.claims.unkept))
+        router.claims.save_unsaved()
+        left.append(len(router.claims.unsaved))
     # Half of the four a second is kept for what a caller waits for.
     assert left[0] == 9
     assert left[-1] == 0
--- a/packages/router/ibisring_router/tests/test_processes.py
+++ b/packages/router/ibisring_router/tests/test_processes.py
@@ -86,7 +86,7 @@
 
 def all_held_by(site, names):
     rows = holders(site)
-    return len(rows) == reconciling.SHARES and all(
+    return len(rows) == reconciling.SHARE_COUNT and all(
         row.holder in names for row in rows.values()
     )
 
@@ -161,7 +161,7 @@
         lambda: all(s.engine.status.loaded for s in site.engines.values())
     )
     for name, server in site.engines.items():
-        share = leases.share_of(name, reconciling.SHARES)
+        share = leases.share_of(name, reconciling.SHARE_COUNT)
         row = before[reconciling._row_key(share)]
         assert server.engine.status.fencing >= row.fencing
 
--- a/packages/router/ibisring_router/tests/test_reconciling.py
+++ b/packages/router/ibisring_router/tests/test_reconciling.py
@@ -62,13 +62,13 @@
     Cause: only leases still held were released.
     """
     leaver = start('leaver')
-    leaver.ask(reconciling.Round(['leaver']))
+    leaver.ask(reconciling.RunRound(['leaver']))
     assert holders(table) == {'leaver'}
     clock.now = LAPSED
-    leaver.ask(reconciling.Release())
+    leaver.ask(reconciling.ReleaseLeases())
     assert holders(table) == {leases.NO_HOLDER}
     stayer = start('stayer')
-    stayer.ask(reconciling.Round(['stayer']))
+    stayer.ask(reconciling.RunRound(['stayer']))
     assert holders(table) == {'stayer'}
 
 
@@ -79,21 +79,21 @@
     Cause: it wrote over a version that had gone.
     """
     leaver = start('leaver')
-    leaver.ask(reconciling.Round(['leaver']))
+    leaver.ask(reconciling.RunRound(['leaver']))
     for row in table.scan(reconciling.LEASE_PREFIX):
         table.commit({row.key: row.version}, {row.key: row.value})
-    leaver.ask(reconciling.Release())
+    leaver.ask(reconciling.ReleaseLeases())
     assert holders(table) == {leases.NO_HOLDER}
 
 
 def test_release_during_an_outage_says_what_is_left(table, start):
     leaver = start('leaver')
-    leaver.ask(reconciling.Round(['leaver']))
+    leaver.ask(reconciling.RunRound(['leaver']))
     table.faults = faults.PlatformFaults(down=True)
-    left = leaver.ask(reconciling.Release())
-    assert left == list(range(reconciling.SHARES))
+    left = leaver.ask(reconciling.ReleaseLeases())
+    assert left == list(range(reconciling.SHARE_COUNT))
     table.faults = faults.PlatformFaults(lose_answers=3)
-    assert leaver.ask(reconciling.Release()) == []
+    assert leaver.ask(reconciling.ReleaseLeases()) == []
     assert holders(table) == {leases.NO_HOLDER}
 
 
@@ -105,11 +105,11 @@
     Cause: the id alone said whose row it was.
     """
     old, new = start('vm-1'), start('vm-1')
-    old.ask(reconciling.Round(['vm-1']))
-    new.ask(reconciling.Round(['vm-1']))
+    old.ask(reconciling.RunRound(['vm-1']))
+    new.ask(reconciling.RunRound(['vm-1']))
     clock.now = LAPSED
-    new.ask(reconciling.Round(['vm-1']))
-    held = new.ask(reconciling.Held())
+    new.ask(reconciling.RunRound(['vm-1']))
+    held = new.ask(reconciling.GetLeases())
     assert all(lease.holds(clock.now) for lease in held.values())
-    old.ask(reconciling.Release())
+    old.ask(reconciling.ReleaseLeases())
     assert holders(table) == {'vm-1'}
--- a/packages/router/ibisring_router/tests/test_records_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_records_fuzz.py
@@ -139,10 +139,10 @@
             return
         if whole:
             snapshot = self.keepers[source].snapshot()
-            self.keepers[router].offer_snapshot(snapshot)
+            self.keepers[router].apply_snapshot(snapshot)
             return
         changes = self.keepers[source].changes_since(0) or []
-        self.keepers[router].offer_changes(changes)
+        self.keepers[router].apply_changes(changes)
 
     @stateful.rule(router=strategies.integers(0, ROUTERS - 1))
     def restart(self, router):
