--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -138,7 +138,7 @@
         return self._whole(request, tokens, shape)
 
     def _parts(self, request, service, terms, request_id, start):
-        """Yield the parts of an answer, counted and within the limit on requests.
+        """Yield the parts of an answer, counted and within the request limit.
 
         Parameters
         ----------
