--- a/bench/burn.py
+++ b/bench/burn.py
@@ -22,7 +22,7 @@
 CLASSES = 4
 KEEP_SECONDS = 60
 THREADS = 32
-BEGIN = 3_000_000 * burnperiods.SECONDS
+BEGIN = 3_000_000 * burnperiods.PERIOD_SECONDS
 
 
 class Clock:
@@ -60,17 +60,19 @@
 def bytes_a_second(current, accounts):
     """Give what one process writes over a period, in bytes a second."""
     written = 0
-    for seconds in range(KEEP_SECONDS, burnperiods.SECONDS + 1, KEEP_SECONDS):
+    for seconds in range(
+        KEEP_SECONDS, burnperiods.PERIOD_SECONDS + 1, KEEP_SECONDS
+    ):
         book = burn.BurnCounter()
         fill(book, current, accounts, random.Random(1), seconds)
-        period = BEGIN // burnperiods.SECONDS
+        period = BEGIN // burnperiods.PERIOD_SECONDS
         written += len(msgspec.json.encode(book.minutes_of_period(period)))
-    return written / burnperiods.SECONDS
+    return written / burnperiods.PERIOD_SECONDS
 
 
 def put_periods(store, current, accounts, processes, clock):
     """Keep the parts of a period that is settled, and of the two since."""
-    settled = BEGIN // burnperiods.SECONDS
+    settled = BEGIN // burnperiods.PERIOD_SECONDS
     for process in range(processes):
         book = burn.BurnCounter()
         fill(
@@ -78,12 +80,12 @@
             current,
             accounts,
             random.Random(process),
-            2.5 * burnperiods.SECONDS,
+            2.5 * burnperiods.PERIOD_SECONDS,
         )
         for period in range(settled, settled + 3):
             minutes = msgspec.to_builtins(book.minutes_of_period(period))
             store.put(f'burn/{period}/{process}', minutes)
-    clock.now = BEGIN + 2.5 * burnperiods.SECONDS
+    clock.now = BEGIN + 2.5 * burnperiods.PERIOD_SECONDS
     return settled
 
 
@@ -126,7 +128,7 @@
         f' {took:.1f} s, {used:.1f} s of processor;'
         f' merged {len(merged) / 1e3:.0f} KB'
     )
-    for older in range(1, burnperiods.PERIODS):
+    for older in range(1, burnperiods.PERIOD_COUNT):
         name = f'burn-merged/{settled - older}'
         platform.objects.values[name] = merged
     took, used, report = timed(burning.report)
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -48,7 +48,7 @@
 
 
 def revision(router):
-    return control(router).in_force().revision
+    return control(router).router_view().revision
 
 
 def submit(router, record, number):
--- a/packages/gateway/ibisring_gateway/logwriter.py
+++ b/packages/gateway/ibisring_gateway/logwriter.py
@@ -37,7 +37,7 @@
         super().__init__(self.line_queue)
         target = logging.StreamHandler(stream)
         self.listener = logging.handlers.QueueListener(self.line_queue, target)
-        self.setFormatter(logs.JsonLines())
+        self.setFormatter(logs.JsonFormatter())
         self.clock = clock
         self.state_lock = threading.Lock()
         self.tokens = BURST_LINES
--- a/packages/operator/ibisring_operator/client.py
+++ b/packages/operator/ibisring_operator/client.py
@@ -112,11 +112,11 @@
 
     def _view(self, vm):
         try:
-            return self.in_force(vm['address'])
+            return self.router_view(vm['address'])
         except exceptions.IbisringError as error:
             return RouterView(vm['id'], problem=error.detail)
 
-    def in_force(self, address=''):
+    def router_view(self, address=''):
         """Give the `RouterView` of a router, of this one if none is named."""
         found = self._ask(
             '/v1/in-force', address=address, read_timeout=LOOK_TIMEOUT
--- a/packages/router/ibisring_router/burnkeeping.py
+++ b/packages/router/ibisring_router/burnkeeping.py
@@ -113,11 +113,11 @@
         BurnReport
         """
         now = self.wall_clock()
-        present = int(now // burnperiods.SECONDS)
+        present = int(now // burnperiods.PERIOD_SECONDS)
         unreached = []
         parts = []
         failed = 0
-        for period in range(present, present - burnperiods.PERIODS, -1):
+        for period in range(present, present - burnperiods.PERIOD_COUNT, -1):
             found = self._read_period(period, now)
             parts.extend(found.parts)
             unreached.extend(found.unreached)
--- a/packages/router/ibisring_router/burnperiods.py
+++ b/packages/router/ibisring_router/burnperiods.py
@@ -14,8 +14,8 @@
 from ibisring_records import exceptions
 import msgspec
 
-SECONDS = burn.PERIOD_MINUTES * 60
-PERIODS = 24 * 3600 // SECONDS
+PERIOD_SECONDS = burn.PERIOD_MINUTES * 60
+PERIOD_COUNT = 24 * 3600 // PERIOD_SECONDS
 READERS = 16
 # Seconds after its end in which a period may still be written: for clocks
 # that differ, and for a store that was away for some minutes.
@@ -129,8 +129,8 @@
         for ever, so a period is merged whole or not at all.  Two routers
         that merge at once write the same.
         """
-        present = int(wall_time // SECONDS)
-        for period in range(present, present - PERIODS, -1):
+        present = int(wall_time // PERIOD_SECONDS)
+        for period in range(present, present - PERIOD_COUNT, -1):
             if period in self.merged or not is_ours(period):
                 continue
             if not is_settled(period, wall_time):
@@ -152,7 +152,7 @@
         return period
 
     def _remember(self, period):
-        self.merged = {p for p in self.merged if p > period - PERIODS}
+        self.merged = {p for p in self.merged if p > period - PERIOD_COUNT}
         self.merged.add(period)
 
 
@@ -162,7 +162,7 @@
     What one writes later for all that, after an outage of its own, is
     missing from the merged object; it counts `burn.kept_late`.
     """
-    return wall_time >= (period + 1) * SECONDS + GRACE
+    return wall_time >= (period + 1) * PERIOD_SECONDS + GRACE
 
 
 def _part_name(period, instance):
@@ -176,7 +176,7 @@
 def time_of(period):
     """Give when a period begins, as text."""
     began = datetime.datetime.fromtimestamp(
-        period * SECONDS, datetime.timezone.utc
+        period * PERIOD_SECONDS, datetime.timezone.utc
     )
     return began.strftime('%Y-%m-%dT%H:%MZ')
 
--- a/packages/router/ibisring_router/logs.py
+++ b/packages/router/ibisring_router/logs.py
@@ -1,13 +1,13 @@
 """Structured log lines, written for changes of state only."""
 
-__all__ = ['JsonLines', 'configure', 'event']
+__all__ = ['JsonFormatter', 'configure', 'event']
 
 import logging
 
 import msgspec
 
 
-class JsonLines(logging.Formatter):
+class JsonFormatter(logging.Formatter):
     """One JSON object a line, with the facts of the event."""
 
     def format(self, record):
@@ -26,7 +26,7 @@
 def configure(level='INFO'):
     """Write JSON lines to standard error."""
     handler = logging.StreamHandler()
-    handler.setFormatter(JsonLines())
+    handler.setFormatter(JsonFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
     logging.getLogger('urllib3').setLevel(logging.ERROR)
 
--- a/packages/router/ibisring_router/tests/builders.py
+++ b/packages/router/ibisring_router/tests/builders.py
@@ -9,7 +9,7 @@
     'list_vms',
     'service_runs',
     'metrics',
-    'held_leases',
+    'held_leases_query',
     'peer_state',
     'many_endpoints',
     'generation',
@@ -98,7 +98,7 @@
     return metrics_module.make_metrics()
 
 
-def held_leases():
+def held_leases_query():
     """Give the message that asks a lease actor for its leases."""
     return reconciling.Held()
 
--- a/packages/router/ibisring_router/tests/test_burnperiods.py
+++ b/packages/router/ibisring_router/tests/test_burnperiods.py
@@ -16,9 +16,9 @@
 from ibisring_standins import memory
 
 PRESENT = 3_000_000
-NOW = PRESENT * burnperiods.SECONDS + 300.0
+NOW = PRESENT * burnperiods.PERIOD_SECONDS + 300.0
 SETTLED = PRESENT - 2
-DAY = range(PRESENT - burnperiods.PERIODS, PRESENT + 1)
+DAY = range(PRESENT - burnperiods.PERIOD_COUNT, PRESENT + 1)
 
 
 class CountingObjects(memory.MemoryObjects):
@@ -153,7 +153,7 @@
     in_force = configuration.build(1, [])
     store.faults = faults.PlatformFaults(down=True)
     for number in range(4):
-        now[0] = NOW + number * burnperiods.SECONDS
+        now[0] = NOW + number * burnperiods.PERIOD_SECONDS
         keeper.book.count(in_force, members, 0.1, True, now[0])
         keeper.keep()
     store.faults = faults.PlatformFaults()
--- a/packages/router/ibisring_router/tests/test_configuration.py
+++ b/packages/router/ibisring_router/tests/test_configuration.py
@@ -296,7 +296,7 @@
     """Give the index of the holding router by share."""
     found = {}
     for index, router in enumerate(fleet):
-        leases = router.reconciler.actor.ask(builders.held_leases())
+        leases = router.reconciler.actor.ask(builders.held_leases_query())
         for share, lease in leases.items():
             if lease.holds(router.reconciler.clock()):
                 assert share not in found
