--- a/packages/router/ibisring_router/burnkeeping.py
+++ b/packages/router/ibisring_router/burnkeeping.py
@@ -1,7 +1,8 @@
-"""Keeping burn tallies in the object store, where a VM's end can't reach.
+"""Storage of burn tallies in the object store, where they outlive a VM.
 
-Each process rewrites one object for the present period; objects of
-processes that are gone stay and are added up with the rest (`burnperiods`).
+Each process rewrites one object for the current period; objects of
+processes that have exited remain and are summed with the others
+(`burnperiods`).
 """
 
 __all__ = ['BurnReport', 'BurnKeeper', 'make_keeper']
@@ -17,12 +18,12 @@
 from ibisring_router import burnperiods
 import msgspec
 
-QUIET_SECONDS = 120.0
-MOST_FAILED = 3
+MERGE_DELAY_AFTER_FAILURE_SECONDS = 120.0
+MAX_FAILED_PERIODS = 3
 
 
 class BurnReport(msgspec.Struct):
-    """Rows, minutes for plots, and what could not be read."""
+    """Rows, tallies by minute for plots, and periods that weren't readable."""
 
     rows: list[burn.Row]
     minutes: burnperiods.Minutes
@@ -30,7 +31,7 @@
 
 
 class BurnKeeper:
-    """Counts requests, and keeps and reads tallies.
+    """Counts requests; saves, reads and merges the tallies.
 
     Parameters
     ----------
@@ -48,11 +49,11 @@
         self.wall_clock = wall_clock
         self.instance = uuid.uuid4().hex
         self.lock = threading.Lock()
-        self.book = burn.BurnCounter()
-        self.failed_at = -math.inf
+        self.counter = burn.BurnCounter()
+        self.last_failure_at = -math.inf
 
     def count(self, service, terms, seconds, error):
-        """Count a request that ended.
+        """Count a finished request.
 
         Parameters
         ----------
@@ -67,7 +68,7 @@
             return
         members = burn.group_members(service, terms.priority, terms.account)
         with self.lock:
-            self.book.count(
+            self.counter.count(
                 configuration,
                 members,
                 seconds,
@@ -75,57 +76,59 @@
                 self.wall_clock(),
             )
 
-    def keep(self):
-        """Write this process's tallies of periods that were counted in.
+    def save(self):
+        """Write this process's tallies of all periods with unsaved counts.
 
-        What can't be written is tried again next time: the store's outage
-        must not take the tallies of its time with it.
+        A failed write is retried at the next call, so that the tallies of a
+        store outage aren't lost.
         """
         with self.lock:
             encoded = {
                 period: msgspec.to_builtins(
-                    self.book.minutes_of_period(period)
+                    self.counter.minutes_of_period(period)
                 )
-                for period in sorted(self.book.unsaved_periods)
+                for period in sorted(self.counter.unsaved_periods)
             }
-            self.book.unsaved_periods.clear()
+            self.counter.unsaved_periods.clear()
         for period, minutes in encoded.items():
-            self._keep_period(period, minutes)
+            self._save_period(period, minutes)
 
-    def _keep_period(self, period, minutes):
+    def _save_period(self, period, minutes):
         try:
             self.periods.put(period, self.instance, minutes)
         except exceptions.IbisringError:
-            self.failed_at = self.wall_clock()
+            self.last_failure_at = self.wall_clock()
             self.metrics.count('burn.keep_failed')
             if minutes:
                 with self.lock:
-                    self.book.unsaved_periods.add(period)
+                    self.counter.unsaved_periods.add(period)
             return
         if burnperiods.is_settled(period, self.wall_clock()):
             self.metrics.count('burn.kept_late')
 
     def report(self):
-        """Add up what all processes kept, and say what was not reached.
+        """Sum the tallies of all processes and list the unreachable periods.
 
         Returns
         -------
         BurnReport
         """
         now = self.wall_clock()
-        present = int(now // burnperiods.PERIOD_SECONDS)
+        current_period = int(now // burnperiods.PERIOD_SECONDS)
         unreached = []
         parts = []
         failed = 0
-        for period in range(present, present - burnperiods.PERIOD_COUNT, -1):
-            found = self._read_period(period, now)
-            parts.extend(found.parts)
-            unreached.extend(found.unreached)
-            failed += bool(found.unreached)
-            if failed == MOST_FAILED:
-                # A store that does not answer would hold the report up
-                # for a timeout with each of the others.
-                before = burnperiods.time_of(period)
+        for period in range(
+            current_period, current_period - burnperiods.PERIOD_COUNT, -1
+        ):
+            tallies = self._read_period(period, now)
+            parts.extend(tallies.parts)
+            unreached.extend(tallies.unreached)
+            failed += bool(tallies.unreached)
+            if failed == MAX_FAILED_PERIODS:
+                # If the store does not respond, each further period would
+                # delay the report by a timeout.
+                before = burnperiods.period_start(period)
                 unreached.append(f'everything before {before}')
                 break
         minutes = burn.merge(parts)
@@ -133,41 +136,42 @@
         return BurnReport(rows, burn.plotted_tallies(minutes, now), unreached)
 
     def _read_period(self, period, now):
-        """Read a period; what this process counted needs no reading."""
+        """Return a period's tallies, with this process's own from memory."""
         if burnperiods.is_settled(period, now):
             return self.periods.read(period, now)
-        found = self.periods.read(period, now, but=self.instance)
+        tallies = self.periods.read(period, now, skip_instance=self.instance)
         with self.lock:
-            own = msgspec.to_builtins(self.book.minutes_of_period(period))
-        found.parts.append(msgspec.convert(own, burnperiods.Minutes))
-        return found
+            own = msgspec.to_builtins(self.counter.minutes_of_period(period))
+        tallies.parts.append(msgspec.convert(own, burnperiods.Minutes))
+        return tallies
 
-    def merge(self, is_ours):
-        """Merge a settled period, if one is left; see `burnperiods`.
+    def merge(self, is_assigned):
+        """Merge one settled period that isn't merged yet; see `burnperiods`.
 
         Parameters
         ----------
-        is_ours : callable
-            Says whether a period is this router's to merge.
+        is_assigned : callable
+            Returns whether this router has to merge a period.
 
         Notes
         -----
-        Not soon after an outage of the store: a process that could not
-        write meanwhile writes then, and must come before the merging.
+        Nothing is merged soon after a failure of the store: processes that
+        could not write during an outage write then, and what they write
+        after the merge would be lost.
         """
         now = self.wall_clock()
-        if now - self.failed_at < QUIET_SECONDS:
+        if now - self.last_failure_at < MERGE_DELAY_AFTER_FAILURE_SECONDS:
             return
         try:
-            self.periods.merge_next(now, is_ours)
+            self.periods.merge_next(now, is_assigned)
         except exceptions.IbisringError:
-            # Tried again at a later round.
-            self.failed_at = now
+            # Retried in a later round.
+            self.last_failure_at = now
             self.metrics.count('burn.merge_failed')
 
 
 def make_keeper(settings, keeper, metrics, wall_clock=time.time):
-    """Make the burn keeper of a router."""
+    """Create the burn keeper of a router."""
     store = objects.http_objects(settings.platform)
     periods = burnperiods.PeriodStore(store)
     return BurnKeeper(keeper, periods, metrics, wall_clock)
--- a/packages/router/ibisring_router/burnperiods.py
+++ b/packages/router/ibisring_router/burnperiods.py
@@ -1,11 +1,17 @@
-"""Tallies in the object store, and the merging of what is past.
+"""Tallies per period in the object store, and merging of past periods.
 
-Each process keeps one object for each period of ten minutes.  Once a period
-is settled, one router adds its objects up into one, so that a report needs
-one read for each past period, however many processes there were.
+Each process writes one object per period of ten minutes.  Once a period is
+settled, one router sums its objects into one, so that a report needs one read
+per past period, however many processes there were.
 """
 
-__all__ = ['Minutes', 'PeriodTallies', 'PeriodStore', 'is_settled', 'time_of']
+__all__ = [
+    'Minutes',
+    'PeriodTallies',
+    'PeriodStore',
+    'is_settled',
+    'period_start',
+]
 
 import concurrent.futures
 import datetime
@@ -16,25 +22,25 @@
 
 PERIOD_SECONDS = burn.PERIOD_MINUTES * 60
 PERIOD_COUNT = 24 * 3600 // PERIOD_SECONDS
-READERS = 16
-# Seconds after its end in which a period may still be written: for clocks
-# that differ, and for a store that was away for some minutes.
-GRACE = 600
-_PARTS = 'burn'
-_MERGED = 'burn-merged'
+READER_THREADS = 16
+# How long after its end a period may still be written.  Allows for clock skew
+# and for a store outage of some minutes.
+GRACE_SECONDS = 600
+_PART_PREFIX = 'burn'
+_MERGED_PREFIX = 'burn-merged'
 
 Minutes = dict[str, dict[str, burn.Tally]]
 
 
 class PeriodTallies(msgspec.Struct):
-    """What was kept for a period, and what of it could not be read."""
+    """The stored tallies of a period, and which of them weren't readable."""
 
     parts: list[Minutes]
     unreached: list[str]
 
 
 class PeriodStore:
-    """The objects of each period.
+    """Access to the objects of each period.
 
     Parameters
     ----------
@@ -51,7 +57,7 @@
         self.merged = set()
 
     def put(self, period, instance, minutes):
-        """Keep the tallies of a process; they replace its earlier ones.
+        """Store the tallies of a process, replacing its earlier ones.
 
         Raises
         ------
@@ -59,17 +65,17 @@
         """
         self.store.put(_part_name(period, instance), minutes)
 
-    def read(self, period, wall_time, but=''):
-        """Read a period, in one object if it is merged.
+    def read(self, period, wall_time, skip_instance=''):
+        """Read a period, from a single object if it is merged.
 
         Parameters
         ----------
         period : int
-            Since 1970.
+            Number of the period since the Unix epoch.
         wall_time : float
             Unix seconds.
-        but : str
-            A process whose tallies are not wanted.
+        skip_instance : str
+            A process whose tallies are left out.
 
         Returns
         -------
@@ -77,42 +83,46 @@
         """
         if is_settled(period, wall_time):
             try:
-                whole = self.store.get(_merged_name(period))
+                merged = self.store.get(_merged_name(period))
             except exceptions.IbisringError as error:
-                return PeriodTallies([], [_missing(period, error)])
-            if whole is not None:
-                return PeriodTallies([msgspec.convert(whole, Minutes)], [])
-        return self._read_parts(period, but)
+                return PeriodTallies([], [_describe_unreached(period, error)])
+            if merged is not None:
+                return PeriodTallies([msgspec.convert(merged, Minutes)], [])
+        return self._read_parts(period, skip_instance)
 
-    def _read_parts(self, period, but):
+    def _read_parts(self, period, skip_instance):
         try:
-            names = self.store.names(f'{_PARTS}/{period}/')
+            names = self.store.names(f'{_PART_PREFIX}/{period}/')
         except exceptions.IbisringError as error:
-            return PeriodTallies([], [_missing(period, error)])
-        wanted = [name for name in names if name != _part_name(period, but)]
-        found = PeriodTallies([], [])
-        with concurrent.futures.ThreadPoolExecutor(READERS) as pool:
-            for name, read in zip(wanted, pool.map(self._try_get, wanted)):
+            return PeriodTallies([], [_describe_unreached(period, error)])
+        wanted = [
+            name for name in names if name != _part_name(period, skip_instance)
+        ]
+        tallies = PeriodTallies([], [])
+        with concurrent.futures.ThreadPoolExecutor(READER_THREADS) as pool:
+            for name, read in zip(
+                wanted, pool.map(self._get_or_error, wanted)
+            ):
                 if isinstance(read, exceptions.IbisringError):
-                    found.unreached.append(_missing(period, read))
+                    tallies.unreached.append(_describe_unreached(period, read))
                 elif read is not None:
-                    found.parts.append(msgspec.convert(read, Minutes))
-        return found
+                    tallies.parts.append(msgspec.convert(read, Minutes))
+        return tallies
 
-    def _try_get(self, name):
+    def _get_or_error(self, name):
         try:
             return self.store.get(name)
         except exceptions.IbisringError as error:
             return error
 
-    def merge_next(self, wall_time, is_ours):
+    def merge_next(self, wall_time, is_assigned):
         """Merge the latest settled period that is not merged yet.
 
         Parameters
         ----------
         wall_time : float
-        is_ours : callable
-            Says whether a period is this router's to merge.
+        is_assigned : callable
+            Returns whether this router has to merge a period.
 
         Returns
         -------
@@ -125,61 +135,61 @@
 
         Notes
         -----
-        A part that could not be read would be missing from every report
-        for ever, so a period is merged whole or not at all.  Two routers
-        that merge at once write the same.
+        A part that could not be read would be missing from all later
+        reports, so a period is merged completely or not at all.  Two routers
+        that merge the same period at a time write the same object.
         """
-        present = int(wall_time // PERIOD_SECONDS)
-        for period in range(present, present - PERIOD_COUNT, -1):
-            if period in self.merged or not is_ours(period):
+        current_period = int(wall_time // PERIOD_SECONDS)
+        for period in range(current_period, current_period - PERIOD_COUNT, -1):
+            if period in self.merged or not is_assigned(period):
                 continue
             if not is_settled(period, wall_time):
                 continue
             if self.store.get(_merged_name(period)) is None:
                 return self._merge(period)
-            self._remember(period)
+            self._mark_merged(period)
         return None
 
     def _merge(self, period):
-        found = self._read_parts(period, '')
-        if found.unreached:
-            raise exceptions.PlatformUnavailable(found.unreached[0])
-        minutes = burn.merge(found.parts)
+        tallies = self._read_parts(period, '')
+        if tallies.unreached:
+            raise exceptions.PlatformUnavailable(tallies.unreached[0])
+        minutes = burn.merge(tallies.parts)
         self.store.put(
             _merged_name(period), msgspec.to_builtins(minutes, str_keys=True)
         )
-        self._remember(period)
+        self._mark_merged(period)
         return period
 
-    def _remember(self, period):
+    def _mark_merged(self, period):
         self.merged = {p for p in self.merged if p > period - PERIOD_COUNT}
         self.merged.add(period)
 
 
 def is_settled(period, wall_time):
-    """Say whether a period is taken to be written by no process any more.
+    """Return whether processes are assumed to have stopped writing a period.
 
-    What one writes later for all that, after an outage of its own, is
-    missing from the merged object; it counts `burn.kept_late`.
+    What a process writes even later, after an outage of its own, is missing
+    from the merged object; such writes are counted as `burn.kept_late`.
     """
-    return wall_time >= (period + 1) * PERIOD_SECONDS + GRACE
+    return wall_time >= (period + 1) * PERIOD_SECONDS + GRACE_SECONDS
 
 
 def _part_name(period, instance):
-    return f'{_PARTS}/{period}/{instance}'
+    return f'{_PART_PREFIX}/{period}/{instance}'
 
 
 def _merged_name(period):
-    return f'{_MERGED}/{period}'
+    return f'{_MERGED_PREFIX}/{period}'
 
 
-def time_of(period):
-    """Give when a period begins, as text."""
-    began = datetime.datetime.fromtimestamp(
+def period_start(period):
+    """Return the start of a period as ISO 8601 text."""
+    start = datetime.datetime.fromtimestamp(
         period * PERIOD_SECONDS, datetime.timezone.utc
     )
-    return began.strftime('%Y-%m-%dT%H:%MZ')
+    return start.strftime('%Y-%m-%dT%H:%MZ')
 
 
-def _missing(period, error):
-    return f'ten minutes from {time_of(period)}: {error.detail}'
+def _describe_unreached(period, error):
+    return f'ten minutes from {period_start(period)}: {error.detail}'
--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -260,7 +260,7 @@
             (settings.status_seconds, self.poller.poll),
             (settings.poll_seconds, self.claims.keep_unkept),
             (settings.lease_seconds / 6, self.reconciler.round),
-            (BURN_SECONDS, self.burn.keep),
+            (BURN_SECONDS, self.burn.save),
             (SWEEP_SECONDS, self._sweep_claims),
             (MERGE_SECONDS, self._merge_burn),
         ):
@@ -317,7 +317,7 @@
         """Release the leases, so that others need not wait them out."""
         periodic.stop_all(self.periodics)
         self.reconciler.release()
-        self.burn.keep()
+        self.burn.save()
 
     def stop(self):
         """Stop at once."""
--- a/packages/router/ibisring_router/tests/test_burnperiods.py
+++ b/packages/router/ibisring_router/tests/test_burnperiods.py
@@ -1,4 +1,4 @@
-"""Merged periods say what their parts said, and miss nothing."""
+"""Merging periods neither loses nor changes tallies."""
 
 import collections
 
@@ -15,14 +15,14 @@
 from ibisring_standins import faults
 from ibisring_standins import memory
 
-PRESENT = 3_000_000
-NOW = PRESENT * burnperiods.PERIOD_SECONDS + 300.0
-SETTLED = PRESENT - 2
-DAY = range(PRESENT - burnperiods.PERIOD_COUNT, PRESENT + 1)
+CURRENT = 3_000_000
+NOW = CURRENT * burnperiods.PERIOD_SECONDS + 300.0
+SETTLED = CURRENT - 2
+DAY = range(CURRENT - burnperiods.PERIOD_COUNT, CURRENT + 1)
 
 
 class CountingObjects(memory.MemoryObjects):
-    """Counts what is read, and can lose one object."""
+    """Counts reads, and can make one object unreadable."""
 
     def __init__(self):
         super().__init__()
@@ -41,31 +41,31 @@
     return CountingObjects()
 
 
-def every(period):
+def is_assigned(period):
     return True
 
 
-def keep(periods, period, instance, total, good=0):
+def put_tally(periods, period, instance, total, good=0):
     minutes = {str(period * burn.PERIOD_MINUTES): {'class/x': [total, good]}}
     periods.put(period, instance, minutes)
 
 
-def totals(periods):
-    """Give all tallies of the day, and what was not reached."""
-    found = collections.Counter()
+def day_totals(periods):
+    """Return all tallies of the day and the unreachable periods."""
+    counts = collections.Counter()
     unreached = []
     for period in DAY:
         read = periods.read(period, NOW)
         unreached.extend(read.unreached)
         for minute, tallies in burn.merge(read.parts).items():
             for key, tally in tallies.items():
-                found[minute, key, 'total'] += tally.total
-                found[minute, key, 'good'] += tally.good
-    return found, unreached
+                counts[minute, key, 'total'] += tally.total
+                counts[minute, key, 'good'] += tally.good
+    return counts, unreached
 
 
 def merge_all(periods):
-    while periods.merge_next(NOW, every) is not None:
+    while periods.merge_next(NOW, is_assigned) is not None:
         pass
 
 
@@ -79,20 +79,20 @@
         ),
     )
 )
-def test_merging_changes_no_report(kept):
+def test_merging_does_not_change_reports(stored):
     periods = burnperiods.PeriodStore(CountingObjects())
-    for (period, instance), (total, good) in kept.items():
-        keep(periods, period, instance, total, good)
-    before = totals(periods)
+    for (period, instance), (total, good) in stored.items():
+        put_tally(periods, period, instance, total, good)
+    before = day_totals(periods)
     merge_all(periods)
-    assert totals(periods) == before
-    assert before[0].total() == sum(t + g for t, g in kept.values())
+    assert day_totals(periods) == before
+    assert before[0].total() == sum(t + g for t, g in stored.values())
 
 
-def test_merged_period_is_read_at_once(store):
+def test_merged_period_needs_one_read(store):
     periods = burnperiods.PeriodStore(store)
     for number in range(50):
-        keep(periods, SETTLED, f'process-{number}', 1)
+        put_tally(periods, SETTLED, f'process-{number}', 1)
     merge_all(periods)
     store.gets = 0
     read = periods.read(SETTLED, NOW)
@@ -103,46 +103,46 @@
     )
 
 
-def test_period_is_merged_whole_or_not_at_all(store):
-    """Symptom: a report of last night lacks what one VM counted.
+def test_period_is_merged_completely_or_not_at_all(store):
+    """Failure: reports permanently lack what one VM counted.
 
-    Sequence: an object can't be read while its period is merged.
-    Cause: the merged object, made without it, stood in for it for ever.
+    One of the objects can't be read while its period is merged; a merged
+    object made without it would replace it from then on.
     """
     periods = burnperiods.PeriodStore(store)
-    keep(periods, SETTLED, 'a', 1)
-    keep(periods, SETTLED, 'b', 2)
+    put_tally(periods, SETTLED, 'a', 1)
+    put_tally(periods, SETTLED, 'b', 2)
     store.unreadable = f'burn/{SETTLED}/b'
     with pytest.raises(exceptions.PlatformUnavailable):
-        periods.merge_next(NOW, every)
+        periods.merge_next(NOW, is_assigned)
     store.unreadable = ''
-    assert periods.merge_next(NOW, every) == SETTLED
-    assert sum(totals(periods)[0].values()) == 3
+    assert periods.merge_next(NOW, is_assigned) == SETTLED
+    assert sum(day_totals(periods)[0].values()) == 3
 
 
-def test_period_that_processes_still_write_is_not_merged(store):
+def test_period_that_may_still_be_written_is_not_merged(store):
     periods = burnperiods.PeriodStore(store)
-    keep(periods, PRESENT - 1, 'a', 1)
+    put_tally(periods, CURRENT - 1, 'a', 1)
     merge_all(periods)
-    keep(periods, PRESENT - 1, 'a', 2)
-    assert sum(totals(periods)[0].values()) == 2
-    assert PRESENT - 1 not in periods.merged
+    put_tally(periods, CURRENT - 1, 'a', 2)
+    assert sum(day_totals(periods)[0].values()) == 2
+    assert CURRENT - 1 not in periods.merged
 
 
-def test_report_during_an_outage_says_which_periods_it_lacks(store):
+def test_report_during_an_outage_lists_unreached_periods(store):
     periods = burnperiods.PeriodStore(store)
     store.faults = faults.PlatformFaults(down=True)
-    found, unreached = totals(periods)
-    assert not found
+    counts, unreached = day_totals(periods)
+    assert not counts
     assert len(unreached) == len(DAY)
 
 
-def test_tallies_of_an_outage_are_kept_when_it_ends(store):
-    """Symptom: the report shows nothing bad in the worst half hour.
+def test_tallies_of_an_outage_are_saved_when_it_ends(store):
+    """Failure: the report lacks the failed requests of an outage.
 
-    Sequence: the object store is down while requests fail; it comes back
-    in a later period.
-    Cause: only the last tallies were written.
+    The object store is down while requests fail and recovers in a later
+    period; the tallies of all periods since must be written then, not only
+    those of the latest.
     """
     now = [NOW]
     periods = burnperiods.PeriodStore(store)
@@ -150,18 +150,18 @@
         None, periods, builders.metrics(), lambda: now[0]
     )
     members = {burn.Group.CLASS: 'x'}
-    in_force = configuration.build(1, [])
+    active = configuration.build(1, [])
     store.faults = faults.PlatformFaults(down=True)
     for number in range(4):
         now[0] = NOW + number * burnperiods.PERIOD_SECONDS
-        keeper.book.count(in_force, members, 0.1, True, now[0])
-        keeper.keep()
+        keeper.counter.count(active, members, 0.1, True, now[0])
+        keeper.save()
     store.faults = faults.PlatformFaults()
-    keeper.merge(every)
+    keeper.merge(is_assigned)
     assert not periods.merged
-    keeper.keep()
-    parts = [periods.read(PRESENT + n, NOW).parts for n in range(4)]
+    keeper.save()
+    parts = [periods.read(CURRENT + n, NOW).parts for n in range(4)]
     assert [len(part) for part in parts] == [1, 1, 1, 1]
-    now[0] += burnkeeping.QUIET_SECONDS
-    keeper.merge(every)
+    now[0] += burnkeeping.MERGE_DELAY_AFTER_FAILURE_SECONDS
+    keeper.merge(is_assigned)
     assert periods.merged
