--- a/packages/router/ibisring_router/answershapes.py
+++ b/packages/router/ibisring_router/apiformats.py
@@ -1,6 +1,6 @@
-"""The OpenAI shapes of answers, whole and streamed."""
+"""OpenAI formats of responses, complete and streamed."""
 
-__all__ = ['Shape', 'CompletionShape', 'ChatShape']
+__all__ = ['ResponseFormat', 'CompletionFormat', 'ChatFormat']
 
 import abc
 
@@ -8,8 +8,8 @@
 from ibisring_web import events
 import msgspec
 
-# Stands for a token's text; it can't be part of an id or a model's name.
-TEXT_MARK = '\x00text\x00'
+# Placeholder for a token's text.  Ids and model names can't contain it.
+TEXT_PLACEHOLDER = '\x00text\x00'
 
 
 class Usage(msgspec.Struct):
@@ -18,21 +18,21 @@
     total_tokens: int
 
 
-class Shape(abc.ABC):
-    """Builds the JSON of one answer.
+class ResponseFormat(abc.ABC):
+    """Builds the JSON of one response.
 
     Parameters
     ----------
     request_id : str
     model : str
-        As the caller named it.
+        As named in the request.
     created : int
         Unix seconds.
     """
 
-    object_name = ''
-    chunk_name = ''
-    prefix = ''
+    object_type = ''
+    chunk_type = ''
+    id_prefix = ''
 
     def __init__(self, request_id, model, created):
         self.request_id = request_id
@@ -40,9 +40,9 @@
         self.created = created
         self.template = None
 
-    def _frame(self, name, choice):
+    def _envelope(self, name, choice):
         return {
-            'id': f'{self.prefix}-{self.request_id}',
+            'id': f'{self.id_prefix}-{self.request_id}',
             'object': name,
             'created': self.created,
             'model': self.model,
@@ -50,24 +50,24 @@
         }
 
     @abc.abstractmethod
-    def _whole_choice(self, text):
-        """Give the choice of a whole answer."""
+    def _full_choice(self, text):
+        """Return the `choices` entry of a complete response."""
 
     @abc.abstractmethod
     def _delta_choice(self, text):
-        """Give the choice of one streamed token, '' for the last chunk."""
+        """Return the entry of a streamed token; '' is the last chunk."""
 
-    def whole(self, text, completed):
-        """Give a whole answer.
+    def full_response(self, text, completed):
+        """Return a complete response.
 
         Parameters
         ----------
         text : str
         completed : generating.Completed
         """
-        choice = self._whole_choice(text)
+        choice = self._full_choice(text)
         choice.update(index=0, logprobs=None, finish_reason=completed.reason)
-        body = self._frame(self.object_name, choice)
+        body = self._envelope(self.object_type, choice)
         body['usage'] = Usage(
             completed.prompt_tokens,
             completed.tokens,
@@ -76,53 +76,53 @@
         return body
 
     def chunk(self, text, finish_reason=None):
-        """Give one streamed chunk."""
+        """Return one chunk of a stream."""
         choice = self._delta_choice(text)
         choice.update(index=0, logprobs=None, finish_reason=finish_reason)
-        return self._frame(self.chunk_name, choice)
+        return self._envelope(self.chunk_type, choice)
 
     def last_chunk(self, completed):
-        """Give the chunk that ends a whole stream and names its outcome."""
+        """Return the chunk that ends a complete stream, with its outcome."""
         chunk = self.chunk('', completed.reason)
         chunk['ibisring_outcome'] = exceptions.Outcome.DONE
         return chunk
 
     def token_event(self, text):
-        """Give one token's whole event as bytes.
+        """Return the complete event of one token as bytes.
 
-        All events of a stream are alike but for their text, so the rest is
-        encoded once: this is the one piece that runs for every token.
+        Runs for every token.  Events of a stream differ only in their text,
+        so everything else is encoded once.
         """
         if self.template is None:
-            event = events.encode(self.chunk(TEXT_MARK))
-            mark = msgspec.json.encode(TEXT_MARK)
-            self.template = event.split(mark)
+            event = events.encode(self.chunk(TEXT_PLACEHOLDER))
+            placeholder = msgspec.json.encode(TEXT_PLACEHOLDER)
+            self.template = event.split(placeholder)
         before, after = self.template
         return before + msgspec.json.encode(text) + after
 
 
-class CompletionShape(Shape):
-    """The shape of ``/v1/completions``."""
+class CompletionFormat(ResponseFormat):
+    """Format of ``/v1/completions``."""
 
-    object_name = 'text_completion'
-    chunk_name = 'text_completion'
-    prefix = 'cmpl'
+    object_type = 'text_completion'
+    chunk_type = 'text_completion'
+    id_prefix = 'cmpl'
 
-    def _whole_choice(self, text):
+    def _full_choice(self, text):
         return {'text': text}
 
     def _delta_choice(self, text):
         return {'text': text}
 
 
-class ChatShape(Shape):
-    """The shape of ``/v1/chat/completions``."""
+class ChatFormat(ResponseFormat):
+    """Format of ``/v1/chat/completions``."""
 
-    object_name = 'chat.completion'
-    chunk_name = 'chat.completion.chunk'
-    prefix = 'chatcmpl'
+    object_type = 'chat.completion'
+    chunk_type = 'chat.completion.chunk'
+    id_prefix = 'chatcmpl'
 
-    def _whole_choice(self, text):
+    def _full_choice(self, text):
         return {'message': {'role': 'assistant', 'content': text}}
 
     def _delta_choice(self, text):
--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers."""
+"""HTTP interface for callers."""
 
 __all__ = ['CallerApi', 'make_app']
 
@@ -8,7 +8,7 @@
 from ibisring_policy import targets
 from ibisring_records import exceptions
 from ibisring_records import records
-from ibisring_router import answershapes
+from ibisring_router import apiformats
 from ibisring_router import calling
 from ibisring_router import generating
 from ibisring_router import keyed as keyed_module
@@ -21,7 +21,7 @@
 REQUEST_ID_HEADER = 'Ibisring-Request-Id'
 OUTCOME_HEADER = 'Ibisring-Outcome'
 URGENT_RANK = 0
-GONE_CHECK_TOKENS = 16
+TOKENS_PER_CALLER_CHECK = 16
 
 
 class CallerApi:
@@ -62,7 +62,7 @@
         self.readiness = readiness
         self.clock = clock
 
-    def _account(self, request, configuration):
+    def _authenticate(self, request, configuration):
         key = routes.bearer_key(request)
         account = configuration.account_by_hash.get(records.hash_key(key))
         if account is None:
@@ -73,20 +73,20 @@
 
     def models(self, request):
         configuration = self.keeper.require()
-        self._account(request, configuration)
+        self._authenticate(request, configuration)
         names = [*configuration.models, *configuration.adapters]
-        listed = [
+        data = [
             {'id': name, 'object': 'model', 'created': 0, 'owned_by': ''}
             for name in sorted(names)
         ]
-        return routes.json_response({'object': 'list', 'data': listed})
+        return routes.json_response({'object': 'list', 'data': data})
 
     def completions(self, request):
         return self._model_request(
             request,
             requests.CompletionRequest,
             lambda body: body.prompt,
-            answershapes.CompletionShape,
+            apiformats.CompletionFormat,
         )
 
     def chat_completions(self, request):
@@ -94,16 +94,16 @@
             request,
             requests.ChatRequest,
             lambda body: requests.chat_prompt(body.messages),
-            answershapes.ChatShape,
+            apiformats.ChatFormat,
         )
 
-    def _model_request(self, request, body_cls, prompt_of, shape_cls):
+    def _model_request(self, request, body_cls, get_prompt, format_cls):
         configuration = self.keeper.require()
-        account = self._account(request, configuration)
+        account = self._authenticate(request, configuration)
         body = routes.read_body(request, body_cls)
         max_tokens = requests.check_supported(body)
         target = targets.resolve_model(configuration, body.model)
-        prompt = prompt_of(body)
+        prompt = get_prompt(body)
         model = configuration.models[target.model]
         requests.check_context(prompt, max_tokens, model)
         now = self.clock()
@@ -111,7 +111,7 @@
             request.headers, configuration, account, False, now
         )
         members = burn.group_members(target.model, terms.priority, account)
-        wanted = burn.tightest_bound_seconds(configuration, members)
+        bound_seconds = burn.tightest_bound_seconds(configuration, members)
         generation = generating.Generation(
             requests.new_request_id(),
             account,
@@ -123,10 +123,10 @@
             terms.idempotent,
             prompt,
             max_tokens,
-            now + wanted,
+            now + bound_seconds,
         )
-        shape = shape_cls(generation.id, body.model, int(time.time()))
-        tokens = self._parts(
+        formatter = format_cls(generation.id, body.model, int(time.time()))
+        tokens = self._run(
             request,
             target.model,
             terms,
@@ -134,11 +134,11 @@
             lambda is_gone: self.generations.run(generation, is_gone),
         )
         if body.stream:
-            return self._streamed(tokens, shape)
-        return self._whole(request, tokens, shape)
+            return self._stream_response(tokens, formatter)
+        return self._full_response(request, tokens, formatter)
 
-    def _parts(self, request, service, terms, request_id, start):
-        """Yield the parts of an answer, counted and within the gate.
+    def _run(self, request, service, terms, request_id, start):
+        """Yield the parts of a response; enters the gate, counts the result.
 
         Parameters
         ----------
@@ -148,22 +148,24 @@
         terms : requests.Terms
         request_id : str
         start : callable
-            Given `is_gone`, gives the iterator of parts.
+            Takes `is_gone`, returns an iterator of parts.
         """
-        started = self.clock()
-        ended = exceptions.CallerGone('left before the end')
+        started_at = self.clock()
+        failure = exceptions.CallerGone(
+            'closed the connection before the response ended'
+        )
         with self.gate.hold(terms.rank == URGENT_RANK):
             try:
-                yield from self._keyed(request, terms, request_id, start)
-                ended = None
+                yield from self._run_keyed(request, terms, request_id, start)
+                failure = None
             except exceptions.IbisringError as error:
-                ended = error
+                failure = error
                 error.facts['request_id'] = request_id
                 raise
             finally:
-                self._count(service, terms, ended, started)
+                self._record(service, terms, failure, started_at)
 
-    def _keyed(self, request, terms, request_id, start):
+    def _run_keyed(self, request, terms, request_id, start):
         if not terms.key:
             return start(lambda: serving.caller_is_gone(request.environ))
         keyed = keyed_module.KeyedRequest(
@@ -177,8 +179,8 @@
         )
         return self.keyed.run(keyed, lambda: start(lambda: False))
 
-    def _count(self, service, terms, error, started):
-        seconds = self.clock() - started
+    def _record(self, service, terms, error, started_at):
+        seconds = self.clock() - started_at
         outcome = exceptions.Outcome.DONE
         if error is not None:
             outcome = error.outcome
@@ -187,55 +189,57 @@
         self.metrics.time('requests.seconds', seconds)
         self.burn.count(service, terms, seconds, error)
 
-    def _headers(self, request_id):
+    def _response_headers(self, request_id):
         return {
             REQUEST_ID_HEADER: request_id,
             OUTCOME_HEADER: exceptions.Outcome.DONE.value,
         }
 
-    def _whole(self, request, tokens, shape):
-        """Give a whole answer; stop early if nobody waits for it."""
+    def _full_response(self, request, tokens, formatter):
+        """Return a complete response; stop early if the caller is gone."""
         parts = []
         for part in tokens:
             if isinstance(part, generating.Completed):
-                body = shape.whole(''.join(parts), part)
-                headers = self._headers(shape.request_id)
+                body = formatter.full_response(''.join(parts), part)
+                headers = self._response_headers(formatter.request_id)
                 return routes.json_response(body, headers=headers)
             parts.append(part)
-            if len(parts) % GONE_CHECK_TOKENS == 0:
+            if len(parts) % TOKENS_PER_CALLER_CHECK == 0:
                 if serving.caller_is_gone(request.environ):
                     break
         tokens.close()
-        raise exceptions.Interrupted('the caller left before the end')
+        raise exceptions.Interrupted(
+            'the caller closed the connection before the response ended'
+        )
 
-    def _streamed(self, tokens, shape):
-        # The first part decides the status: a request that did not run is
-        # answered as such, not as a stream that breaks off.
+    def _stream_response(self, tokens, formatter):
+        # The first part is awaited before the status is sent, so that a
+        # request that did not run gets an error instead of a broken stream.
         first = next(tokens)
         return routes.event_response(
-            self._stream(first, tokens, shape),
-            {REQUEST_ID_HEADER: shape.request_id},
+            self._stream_events(first, tokens, formatter),
+            {REQUEST_ID_HEADER: formatter.request_id},
         )
 
-    def _stream(self, part, tokens, shape):
-        """Yield the events of a streamed answer."""
+    def _stream_events(self, part, tokens, formatter):
+        """Yield the events of a streamed response."""
         try:
             while not isinstance(part, generating.Completed):
-                yield shape.token_event(part)
+                yield formatter.token_event(part)
                 part = next(tokens)
         except exceptions.IbisringError as error:
             yield events.encode(routes.error_body(error))
             return
         finally:
             tokens.close()
-        yield events.encode(shape.last_chunk(part))
+        yield events.encode(formatter.last_chunk(part))
         yield events.encode(events.DONE)
 
     # Services
 
     def call_service(self, request, service):
         configuration = self.keeper.require()
-        account = self._account(request, configuration)
+        account = self._authenticate(request, configuration)
         body = routes.read_body(request, msgspec.Raw)
         target = targets.resolve_service(configuration, service)
         terms = requests.read_terms(
@@ -251,7 +255,7 @@
             terms.idempotent,
             body,
         )
-        parts = self._parts(
+        parts = self._run(
             request,
             service,
             terms,
@@ -260,7 +264,7 @@
         )
         (answer,) = parts
         return routes.json_response(
-            answer.body, headers=self._headers(call.id)
+            answer.body, headers=self._response_headers(call.id)
         )
 
     # Health
@@ -274,7 +278,7 @@
 
 
 def make_app(api):
-    """Make the WSGI application for callers."""
+    """Create the WSGI application for callers."""
     return routes.Application(
         [
             routes.route('GET', '/v1/models', api.models),
