--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -29,7 +29,7 @@
 IDLE_SECONDS = 10.0
 LOOK = 0.005
 LIMIT = 60.0
-SPEED = engineserver.Speed(step=0.001)
+SPEED = engineserver.Speed(step_seconds=0.001)
 
 
 def wait_until(condition):
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -58,7 +58,7 @@
 def measure(count, part, seconds):
     """Print what came of one load on some routers."""
     site = builders.small_site(
-        engines=ENGINES, speed=engineserver.Speed(step=STEP)
+        engines=ENGINES, speed=engineserver.Speed(step_seconds=STEP)
     )
     for server in site.engines.values():
         server.engine.keep_ledger = False
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -28,7 +28,7 @@
     rate=8.0, seconds=BEFORE + AFTER, tokens=8, bound=1.0, patience=9.0
 )
 BASELINE = {'token_timeout': 60.0, 'connect_timeout': 60.0}
-SPEED = engineserver.Speed(step=0.004)
+SPEED = engineserver.Speed(step_seconds=0.004)
 
 
 def load(routers, fault):
--- a/packages/router/ibisring_router/main.py
+++ b/packages/router/ibisring_router/main.py
@@ -21,7 +21,7 @@
 DEMO_OPERATOR_KEY = 'demo-operator-key'
 DEMO_ENGINES = 6
 DEMO_SERVICES = 2
-DEMO_SPEED = engineserver.Speed(step=0.002, prefill=0.0001)
+DEMO_SPEED = engineserver.Speed(step_seconds=0.002, prefill_seconds=0.0001)
 EXIT_SETTING = 2
 
 
--- a/packages/router/ibisring_router/tests/fakes.py
+++ b/packages/router/ibisring_router/tests/fakes.py
@@ -15,7 +15,7 @@
 from ibisring_router import generating
 from ibisring_router import metrics
 from ibisring_standins import engine
-from ibisring_standins import head
+from ibisring_standins import firststage
 
 SEED = 7
 
@@ -108,7 +108,9 @@
     def __init__(self, order, transport):
         self.events = []
         self.cancelled = False
-        self.source = head.run(order, transport, lambda: self.cancelled)
+        self.source = firststage.generate(
+            order, transport, lambda: self.cancelled
+        )
 
     def event(self, index):
         """Give an event by index, or None past the end."""
@@ -120,13 +122,13 @@
         return self.events[index]
 
 
-class _DirectTransport(head.Transport):
+class _DirectTransport(firststage.Transport):
     def __init__(self, fakes):
         self.fakes = fakes
 
     def _engine(self, stage):
         if stage.endpoint in self.fakes.dead:
-            raise head.StageLost(stage.endpoint, 'dead')
+            raise firststage.StageLost(stage.endpoint, 'dead')
         return self.fakes.engines[stage.endpoint]
 
     def begin(self, stage, begin):
@@ -134,7 +136,7 @@
         try:
             return held.begin(begin)
         except exceptions.PlanInvalid as error:
-            raise head.StageLost(stage.endpoint, str(error)) from error
+            raise firststage.StageLost(stage.endpoint, str(error)) from error
 
     def step(self, stage, step):
         held = self._engine(stage)
@@ -142,7 +144,7 @@
         try:
             return held.step(step)
         except exceptions.IbisringError as error:
-            raise head.StageLost(stage.endpoint, str(error)) from error
+            raise firststage.StageLost(stage.endpoint, str(error)) from error
 
 
 class FaultyEngines(engineclient.EngineClient):
--- a/packages/router/ibisring_router/tests/test_failures.py
+++ b/packages/router/ibisring_router/tests/test_failures.py
@@ -255,7 +255,7 @@
     assert router.gate.wait_until_empty(10)
     cancelled = threading.Event()
     while not cancelled.wait(0.01):
-        if sum(s.cancelled for s in site.engines.values()):
+        if sum(s.cancelled_count for s in site.engines.values()):
             cancelled.set()
     running = router.placement.inspect(lambda d: len(d.running))
     assert running == 0
--- a/packages/router/ibisring_router/tests/test_generating_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_generating_fuzz.py
@@ -333,8 +333,8 @@
             ),
         )
 
-    real_run = fakes.head.run
-    monkeypatch.setattr(fakes.head, 'run', rerun)
+    real_run = fakes.firststage.generate
+    monkeypatch.setattr(fakes.firststage, 'generate', rerun)
     monkeypatch.setattr(engine.StageEngine, 'step', step)
 
 
--- a/packages/router/ibisring_router/tests/test_processes.py
+++ b/packages/router/ibisring_router/tests/test_processes.py
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def site():
-    site = builders.small_site(speed=engineserver.Speed(step=0.005))
+    site = builders.small_site(speed=engineserver.Speed(step_seconds=0.005))
     yield site
     site.stop()
 
--- a/packages/standins/ibisring_standins/engine.py
+++ b/packages/standins/ibisring_standins/engine.py
@@ -9,7 +9,7 @@
 __all__ = [
     'Step',
     'Begin',
-    'Begun',
+    'BeginReply',
     'LayerRun',
     'StageEngine',
     'make_engine',
@@ -52,7 +52,7 @@
     cache_source: str = ''
 
 
-class Begun(msgspec.Struct):
+class BeginReply(msgspec.Struct):
     """Says whether the stage already had the KV cache (`warm`)."""
 
     warm: bool
@@ -190,7 +190,7 @@
 
         Returns
         -------
-        Begun
+        BeginReply
 
         Raises
         ------
@@ -209,7 +209,7 @@
             self.sequences[begin.request] = _Sequence(
                 begin.attempt, begin.position
             )
-        return Begun(warm or begin.prefill == 0, self.status.endpoint)
+        return BeginReply(warm or begin.prefill == 0, self.status.endpoint)
 
     def step(self, step):
         """Run this stage's layers for one token.
--- a/packages/standins/ibisring_standins/engineserver.py
+++ b/packages/standins/ibisring_standins/engineserver.py
@@ -9,7 +9,7 @@
 from ibisring_records import exceptions
 from ibisring_standins import engine as engine_module
 from ibisring_standins import faults
-from ibisring_standins import head
+from ibisring_standins import firststage
 from ibisring_web import calls
 from ibisring_web import events
 from ibisring_web import routes
@@ -23,8 +23,8 @@
 class Speed(msgspec.Struct):
     """Seconds of work: per step of this stage, and per prefilled token."""
 
-    step: float = 0.0
-    prefill: float = 0.0
+    step_seconds: float = 0.0
+    prefill_seconds: float = 0.0
 
 
 class _Generation:
@@ -63,7 +63,7 @@
         self.slots = engine_module.Slots(load.slots, 4 * load.slots)
         self.generations = {}
         self.lock = threading.Lock()
-        self.cancelled = 0
+        self.cancelled_count = 0
 
     # Stage side
 
@@ -92,7 +92,7 @@
         )
 
     def step_here(self, wanted):
-        delay = self.speed.step + self.engine.faults.step_delay
+        delay = self.speed.step_seconds + self.engine.faults.step_delay
         if delay:
             time.sleep(delay)
         return self.engine.step(wanted)
@@ -148,7 +148,7 @@
             generation = self.generations.get(key)
         if generation is not None and not generation.ended:
             generation.cancelled = True
-            self.cancelled += 1
+            self.cancelled_count += 1
         return routes.json_response({})
 
     def _stream(self, generation, position):
@@ -213,7 +213,7 @@
         transport = _HttpTransport(self)
         ended = False
         try:
-            for event in head.run(
+            for event in firststage.generate(
                 generation.order,
                 transport,
                 lambda: generation.cancelled
@@ -234,14 +234,14 @@
 
         Raises
         ------
-        head.StageLost
+        firststage.StageLost
         """
         try:
             return self.caller.call(
                 'POST', stage.address, path, message, cls=cls
             )
         except (calls.CallError, exceptions.IbisringError) as error:
-            raise head.StageLost(stage.endpoint, str(error)) from error
+            raise firststage.StageLost(stage.endpoint, str(error)) from error
 
     def _forget_all(self, order):
         cancel = engines.CancelRequest(order.request, order.attempt)
@@ -250,7 +250,7 @@
                 continue
             try:
                 self.ask(stage, '/stage/forget', cancel, object)
-            except head.StageLost:
+            except firststage.StageLost:
                 continue
 
     # Control
@@ -280,7 +280,7 @@
         return routes.json_response(self.engine.ledger)
 
 
-class _HttpTransport(head.Transport):
+class _HttpTransport(firststage.Transport):
     """Reaches other stages over HTTP and the own one directly."""
 
     def __init__(self, server):
@@ -290,7 +290,7 @@
         if self.server.is_here(stage):
             return self.server.begin_here(begin)
         return self.server.ask(
-            stage, '/stage/begin', begin, engine_module.Begun
+            stage, '/stage/begin', begin, engine_module.BeginReply
         )
 
     def step(self, stage, step):
@@ -302,7 +302,7 @@
         return answer.state
 
     def prefill(self, tokens):
-        seconds = self.server.speed.prefill * tokens
+        seconds = self.server.speed.prefill_seconds * tokens
         if seconds:
             time.sleep(seconds)
 
--- a/packages/standins/ibisring_standins/head.py
+++ b/packages/standins/ibisring_standins/firststage.py
@@ -1,6 +1,6 @@
 """The head engine's token loop over the stages of a plan."""
 
-__all__ = ['StageLost', 'Transport', 'run']
+__all__ = ['StageLost', 'Transport', 'generate']
 
 import abc
 
@@ -29,7 +29,7 @@
 
     @abc.abstractmethod
     def begin(self, stage, begin):
-        """Begin an attempt at a stage; give an `engine.Begun`.
+        """Begin an attempt at a stage; give an `engine.BeginReply`.
 
         Raises
         ------
@@ -99,7 +99,7 @@
     )
 
 
-def run(order, transport, is_cancelled):
+def generate(order, transport, is_cancelled):
     """Yield the events of an attempt; the last ends it.
 
     Parameters
