--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -138,7 +138,7 @@
         return self._full_response(request, tokens, formatter)
 
     def _run(self, request, service, terms, request_id, start):
-        """Yield the parts of a response; acquires the request limiter, counts the result.
+        """Yield the parts of a response within the limit; count the result.
 
         Parameters
         ----------
