--- a/packages/gateway/ibisring_gateway/placing.py
+++ b/packages/gateway/ibisring_gateway/placing.py
@@ -1,6 +1,6 @@
-"""The actor that orders engines to hold layers."""
+"""Actor that plans layer placement and sends orders to engines."""
 
-__all__ = ['Look', 'Placer']
+__all__ = ['CheckPlacement', 'Placer']
 
 import concurrent.futures
 import logging
@@ -20,111 +20,113 @@
 import msgspec
 
 LOG = logging.getLogger(__name__)
-# Seconds that an engine which does not answer stays in the plan: shorter
-# than its entry lives, longer than a hiccup.
-LOST_AFTER = 0.4
-STATUS_TIMEOUT = 0.3
-# Engines ordered or asked at the same time: one that does not answer would
-# otherwise hold up the orders to all others by half a second.
-MOST_AT_ONCE = 8
-# Times its usual pace from which an engine is planned without: at 4 one of
-# ten stages is busy for a third of the time with a domain's prompts.
-TOO_SLOW = 4.0
+# An engine that does not answer stays in the plan for this time: shorter than
+# the lifetime of its entry, longer than a brief stall.
+LOST_AFTER_SECONDS = 0.4
+STATUS_TIMEOUT_SECONDS = 0.3
+# Engines called concurrently: one that does not answer would otherwise delay
+# the orders to all others by half a second.
+MAX_CONCURRENT_CALLS = 8
+# Slowdown from which an engine is left out of the plan: at 4, one of ten
+# stages is busy for a third of the time with the prompts of its domain.
+MAX_SLOWDOWN = 4.0
 
 
-class Look(msgspec.Struct):
-    """Look whether any engine should hold other layers."""
+class CheckPlacement(msgspec.Struct):
+    """Message: check whether any engine should hold other layers."""
 
 
 class Placer(actors.MessageActor):
-    """Plans, takes the lease, and sends orders.
+    """Plans placement, holds the lease, and sends orders.
 
     Parameters
     ----------
     view : view.View
-    leases : ports.LeaseTable
+    lease_table : ports.LeaseTable
     engines : ports.EngineControl
     router_id : str
     metrics : metrics.Metrics
-    store_touches : callable
-        Gives what other routers told lately of the store, by name.
-    tell : callable
+    store_statuses : callable
+        Returns the store statuses reported lately by other routers, by name.
+    send_to_directory : callable
         Takes `directory.HoldingReport` messages.
-    on_trouble : callable
+    on_store_failure : callable
         Called when the store does not answer.
     """
 
     def __init__(
         self,
         view,
-        leases,
+        lease_table,
         engines,
         router_id,
         metrics,
-        store_touches,
-        tell,
-        on_trouble,
+        store_statuses,
+        send_to_directory,
+        on_store_failure,
     ):
         super().__init__()
         self.router_id = router_id
-        self.store_touches = store_touches
-        self.tell_directory = tell
-        self.on_trouble = on_trouble
-        self.pool = concurrent.futures.ThreadPoolExecutor(MOST_AT_ONCE)
+        self.store_statuses = store_statuses
+        self.send_to_directory = send_to_directory
+        self.on_store_failure = on_store_failure
+        self.pool = concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_CALLS)
         self.view = view
         self.engines = engines
         self.metrics = metrics
-        self.turn = layerorders.make_lease(router_id, random.Random().random())
-        self.leases = leases
+        self.lease = layerorders.make_lease(
+            router_id, random.Random().random()
+        )
+        self.lease_table = lease_table
         self.orders = layerorders.make_order_tracker()
-        self.arrivals = layerorders.Registrations()
-        self.missing = {}
+        self.registrations = layerorders.Registrations()
+        self.missing_layers = {}
 
     def handlers(self):
-        return {Look: self.on_look}
+        return {CheckPlacement: self.on_check}
 
-    def on_look(self, message):
-        """Compare what engines hold with the plan, and order the rest."""
+    def on_check(self, message):
+        """Compare the layers held with the plan, and order the changes."""
         snapshot = self.view.snapshot
         if snapshot.index is None or not snapshot.endpoints_known:
             return
         for service in snapshot.index.table.services:
             if service.model is not None:
-                self._look_at(service, snapshot)
+                self._check_service(service, snapshot)
 
-    def _look_at(self, service, snapshot):
+    def _check_service(self, service, snapshot):
         now = time.monotonic()
-        staying = self._staying(service, snapshot, now)
-        if not self.arrivals.are_settled(staying, now):
+        usable = self._usable_engines(service, snapshot, now)
+        if not self.registrations.are_settled(usable, now):
             return
-        self.orders.update(staying, now)
-        engines = self._engines(staying, service.model, now)
-        self._tell_missing(service, staying)
+        self.orders.update(usable, now)
+        engines = self._planner_engines(usable, service.model, now)
+        self._log_missing_layers(service, usable)
         if self.view.store_lost_at is not None:
-            self._learn(staying)
+            self._query_ordered_engines(usable)
         if now - snapshot.known_since < presence.REREGISTER_SECONDS:
-            # Entries that lapsed in an outage come back within two seconds.
-            # A router that has just started can't tell them from engines
-            # that are gone, and would move all that it sees.
+            # Entries that expired in an outage return within two seconds.  A
+            # router that has just started can't distinguish their engines
+            # from lost ones, and would reassign all engines that it sees.
             return
         changes = layers.plan(engines, service.model)
-        if not self.turn.may_act(bool(changes), now):
+        if not self.lease.may_act(bool(changes), now):
             return
-        if not self._hold_lease(now):
+        if not self._acquire_lease(now):
             return
-        by_id = {e.id: e for e in staying}
-        wanted = [(by_id[c.id], c.holding) for c in changes]
-        self._order_all(wanted, service.model)
-
-    def _engines(self, staying, model, now):
-        """Give the planner's view of the engines that may be ordered."""
-        # On a site that starts nothing is about to be replaced.
-        is_whole = any(e.holding is not None for e in staying)
+        by_id = {e.id: e for e in usable}
+        planned = [(by_id[c.id], c.holding) for c in changes]
+        self._send_orders(planned, service.model)
+
+    def _planner_engines(self, usable, model, now):
+        """Return the engines that may be ordered, as the planner's input."""
+        # On a site that is starting up, no engine replaces another.
+        is_running_site = any(e.holding is not None for e in usable)
         with self.view.lock:
-            holders = self.view.estimates.holders(staying, model, now)
+            holders = self.view.estimates.holders(usable, model, now)
         loads = {h.id: h.used / h.capacity for h in holders if h.capacity > 0}
         found = []
-        for each in staying:
+        for each in usable:
             if self.orders.is_unloading(each, now):
                 continue
             card = model.card(each.card)
@@ -135,22 +137,23 @@
                     card.memory_mb,
                     self.orders.expected_holding(each, now),
                     each.holding,
-                    is_whole and self.arrivals.has_just_registered(each, now),
+                    is_running_site
+                    and self.registrations.has_just_registered(each, now),
                     card.step_factor,
                     loads.get(each.id, 0.0),
                 )
             )
         return found
 
-    def _learn(self, staying):
-        """Ask engines under orders what they hold, while the store is away.
+    def _query_ordered_engines(self, usable):
+        """Query ordered engines for their layers during a store outage.
 
-        Their entries can't change then; without this nobody would use the
-        layers that were loaded, and they would be ordered again.
+        Their entries can't change then; without these reports no router would
+        use the layers that were loaded, and they would be ordered again.
         """
-        ordered = [e for e in staying if e.id in self.orders.pending]
+        ordered = [e for e in usable if e.id in self.orders.pending]
         for endpoint, status in zip(
-            ordered, self.pool.map(self._status, ordered)
+            ordered, self.pool.map(self._query_status, ordered)
         ):
             if status is None:
                 continue
@@ -159,30 +162,30 @@
                 status.started,
                 status.holding,
             )
-            self.tell_directory(
+            self.send_to_directory(
                 directory.HoldingReport(
                     endpoint.id, status.started, status.holding
                 )
             )
 
-    def _tell_missing(self, service, staying):
-        """Log when the layers that some failure domain lacks change."""
+    def _log_missing_layers(self, service, usable):
+        """Log changes in the layers that are missing in failure domains."""
         engines = [
             windows.Engine(e.id, e.failure_domain, 0.0, e.holding)
-            for e in staying
+            for e in usable
         ]
         found = layers.missing(engines, service.model.layers)
         texts = {
-            domain: [_text(gap) for gap in gaps]
+            domain: [_range_text(gap) for gap in gaps]
             for domain, gaps in found.items()
         }
-        if texts != self.missing:
-            self.missing = texts
+        if texts != self.missing_layers:
+            self.missing_layers = texts
             logs.event(
-                LOG, 'layers_missing', domains=texts, engines=len(staying)
+                LOG, 'layers_missing', domains=texts, engines=len(usable)
             )
 
-    def _staying(self, service, snapshot, now):
+    def _usable_engines(self, service, snapshot, now):
         found = []
         for each in snapshot.by_service.get(service.name, ()):
             if service.model.card(each.card) is None:
@@ -195,113 +198,113 @@
         return found
 
     def _is_lost(self, name, now):
-        belief = self.view.estimates.by_endpoint.get(name)
-        if belief is None or not belief.dead:
+        estimate = self.view.estimates.by_endpoint.get(name)
+        if estimate is None or not estimate.dead:
             return False
-        return now - belief.dead_at >= LOST_AFTER
+        return now - estimate.dead_at >= LOST_AFTER_SECONDS
 
     def _is_too_slow(self, endpoint, now):
-        """Say whether an engine's layers should be held by others as well.
+        """Return whether an engine's layers should be held by others too.
 
-        A stage that is many times slower falls behind with the prompts of
+        A stage that is many times slower can't keep up with the prompts of
         its domain, and all streams there pause.
         """
-        return self.view.estimates.slowdown(endpoint.id, now) >= TOO_SLOW
+        return self.view.estimates.slowdown(endpoint.id, now) >= MAX_SLOWDOWN
 
-    def _hold_lease(self, now):
-        """Take or keep the right to order, by the store's conditional write.
+    def _acquire_lease(self, now):
+        """Acquire or renew the lease by a conditional write to the store.
 
-        Without it every router would send the same orders at once, and one
-        with an older view would undo what another has just ordered.
+        Without the lease every router would send the same orders, and one
+        with an older view would revert what another has just ordered.
         """
-        self.turn.note_term(self.view.term)
-        if self.turn.is_held(time.monotonic()):
+        self.lease.note_term(self.view.term)
+        if self.lease.is_held(time.monotonic()):
             return True
         if self.view.snapshot.store_lost_at is not None:
-            return self._leads_without_store()
+            return self._lead_without_store()
         try:
-            row = self.leases.read_lease()
-            wanted = self.turn.next_row(row, time.monotonic())
-            if wanted is None:
+            row = self.lease_table.read_lease()
+            row_to_write = self.lease.next_row(row, time.monotonic())
+            if row_to_write is None:
                 return False
-            written = self.leases.write_lease(wanted)
+            written = self.lease_table.write_lease(row_to_write)
         except exceptions.IbisringError as error:
             logs.event(LOG, 'lease_unavailable', why=error.detail)
-            self.on_trouble()
+            self.on_store_failure()
             if self.view.lease_lost_at is None:
                 self.view.lease_lost_at = time.monotonic()
-            return self._leads_without_store()
+            return self._lead_without_store()
         self.view.lease_lost_at = None
         if written is None:
-            logs.event(LOG, 'lease_lost_race', term=wanted.term)
+            logs.event(LOG, 'lease_lost_race', term=row_to_write.term)
             return False
-        self.turn.note_acquired(now)
-        self.view.term = max(self.view.term, wanted.term)
-        logs.event(LOG, 'lease_taken', term=wanted.term)
+        self.lease.note_acquired(now)
+        self.view.term = max(self.view.term, row_to_write.term)
+        logs.event(LOG, 'lease_taken', term=row_to_write.term)
         self.metrics.count('leases_taken')
         return True
 
-    def _leads_without_store(self):
+    def _lead_without_store(self):
         lost_at = self.view.store_lost_at
         if lost_at is None:
             return False
         now = time.monotonic()
-        heard = self.store_touches()
+        statuses = self.store_statuses()
         if not layerorders.leads_without_store(
-            self.router_id, now - lost_at, heard
+            self.router_id, now - lost_at, statuses
         ):
             return False
-        self.turn.lead_without_store(now)
+        self.lease.lead_without_store(now)
         logs.event(
             LOG,
             'leads_without_store',
             lost_ms=round((now - lost_at) * 1000.0),
-            heard=sorted(heard),
-            term=self.turn.term,
+            heard=sorted(statuses),
+            term=self.lease.term,
         )
         return True
 
-    def _order_all(self, wanted, model):
-        """Send orders, all at the same time.
+    def _send_orders(self, planned, model):
+        """Send orders concurrently.
 
         Parameters
         ----------
-        wanted : list of (routing.Endpoint, routing.Holding)
+        planned : list of (routing.Endpoint, routing.Holding)
         model : routing.Model
         """
         unknown = [
-            e for e, _ in wanted if self.orders.accepted_orders(e) is None
+            e for e, _ in planned if self.orders.accepted_orders(e) is None
         ]
         for endpoint, status in zip(
-            unknown, self.pool.map(self._status, unknown)
+            unknown, self.pool.map(self._query_status, unknown)
         ):
-            self._note_count(endpoint, status)
+            self._record_order_count(endpoint, status)
         now = time.monotonic()
         ready = [
             (endpoint, holding)
-            for endpoint, holding in wanted
+            for endpoint, holding in planned
             if self.orders.accepted_orders(endpoint) is not None
             and not self.orders.is_blocked(endpoint, now)
         ]
-        results = list(self.pool.map(self._order, ready))
+        results = list(self.pool.map(self._send_order, ready))
         for (endpoint, holding), result in zip(ready, results):
             if result is not None:
                 seconds = _load_seconds(endpoint, holding, model)
-                self._note_order(endpoint, holding, result, seconds)
+                self._record_order(endpoint, holding, result, seconds)
 
-    def _order(self, wanted):
-        """Send one order; None if the right to order has ended."""
-        endpoint, holding = wanted
-        if not self.turn.is_held(time.monotonic()):
+    def _send_order(self, planned):
+        """Send one order; None if the lease has expired."""
+        endpoint, holding = planned
+        if not self.lease.is_held(time.monotonic()):
             return None
         return self.engines.place(
             endpoint,
             holding,
             self.orders.accepted_orders(endpoint),
-            self.turn.term,
+            self.lease.term,
         )
 
-    def _note_order(self, endpoint, holding, result, seconds):
+    def _record_order(self, endpoint, holding, result, seconds):
         expected = self.orders.accepted_orders(endpoint)
         self.metrics.count(f'orders.{result.value}')
         self.orders.note_order(
@@ -313,51 +316,53 @@
             endpoint=endpoint.id,
             first=holding.first,
             end=holding.end,
-            held=_text(endpoint.holding),
+            held=_range_text(endpoint.holding),
             expected_orders=expected,
-            term=self.turn.term,
+            term=self.lease.term,
             result=result.value,
         )
         if result is ports.OrderResult.STALE:
-            self.turn.note_lost()
+            self.lease.note_lost()
         if result is ports.OrderResult.UNKNOWN:
-            self._note_unreachable(endpoint)
+            self._record_unreachable(endpoint)
 
-    def _status(self, endpoint):
-        """Ask an engine for its status; None without an answer."""
+    def _query_status(self, endpoint):
+        """Query an engine's status; None without an answer."""
         try:
-            return self.engines.status(endpoint.address, STATUS_TIMEOUT)
+            return self.engines.status(
+                endpoint.address, STATUS_TIMEOUT_SECONDS
+            )
         except exceptions.IbisringError as error:
             logs.event(
                 LOG, 'no_status', endpoint=endpoint.id, why=error.detail
             )
             return None
 
-    def _note_count(self, endpoint, status):
+    def _record_order_count(self, endpoint, status):
         if status is None:
-            self._note_unreachable(endpoint)
+            self._record_unreachable(endpoint)
         elif status.busy:
             self.orders.note_busy(endpoint, time.monotonic())
         else:
             self.orders.note_accepted_orders(endpoint, status.orders)
 
-    def _note_unreachable(self, endpoint):
+    def _record_unreachable(self, endpoint):
         with self.view.lock:
             self.view.estimates.note_unreachable(endpoint.id, time.monotonic())
 
 
 def _load_seconds(endpoint, holding, model):
-    """Give the time to load what of a range an engine does not hold."""
+    """Return the seconds to load the layers that an engine lacks."""
     held = endpoint.holding
-    kept = 0
+    retained = 0
     if held is not None:
-        kept = max(
+        retained = max(
             0, min(held.end, holding.end) - max(held.first, holding.first)
         )
-    return (holding.count - kept) * model.load_seconds / model.layers
+    return (holding.count - retained) * model.load_seconds / model.layers
 
 
-def _text(holding):
+def _range_text(holding):
     if not isinstance(holding, routing.Holding):
         return None
     return f'{holding.first}-{holding.end}'
--- a/packages/gateway/ibisring_gateway/process.py
+++ b/packages/gateway/ibisring_gateway/process.py
@@ -1,4 +1,4 @@
-"""Putting a gateway together, running it, and shutting it down."""
+"""Assembles a gateway process, runs it, and shuts it down."""
 
 __all__ = ['Gateway', 'make_gateway']
 
@@ -39,11 +39,11 @@
 METRICS_PATH = '/metrics'
 CALLER_THREADS = (16, 1200)
 READY_THREADS = (2, 8)
-# Seconds between looks at the layers beside those after each change: finds
-# orders that did not take effect and engines that died without a word.
-LOOK_SECONDS = 0.25
-# Between looks whether a process that is ending has finished, in seconds.
-END_TICK = 0.05
+# Interval of the periodic placement check, in addition to the one after each
+# change: finds orders without effect and engines that died silently.
+CHECK_SECONDS = 0.25
+# Interval at which a process that shuts down checks for running requests.
+SHUTDOWN_POLL_SECONDS = 0.05
 
 
 class Gateway:
@@ -63,8 +63,8 @@
             settings.failure_domain, name=settings.router_id
         )
         self.connections = upstream.make_connection_pool()
-        self.watcher = watching.make_watcher(self._on_silence)
-        self.window = attempts.make_retry_budget(
+        self.watcher = watching.make_watcher(self._on_stall)
+        self.retry_budget = attempts.make_retry_budget(
             settings.repeat_window_s,
             settings.repeat_ratio * attempts.RATIO_SHARE,
             settings.repeat_slack * attempts.SLACK_SHARE,
@@ -79,45 +79,47 @@
             installation.codec,
             self.connections,
             self.watcher,
-            self.window,
+            self.retry_budget,
             self._count_routers,
             self.metrics,
             self.screen,
         )
-        self.doctor = doctor.make_stall_handler(
+        self.stall_handler = doctor.make_stall_handler(
             self.view,
             installation.engines,
             self.forwarder.selector,
             self.watcher,
             self.metrics,
         )
-        self.followers = following.make_followers(self._place, self._role)
+        self.followers = following.make_followers(
+            self._polling_slot, self._role
+        )
         self.signals = []
         self.signalled = threading.Event()
         self.servers = []
-        self.parts = []
+        self.components = []
         self.placer = None
         self.directory = None
         self.log_writer = None
-        self.is_ending = False
+        self.is_shutting_down = False
 
-    def _on_silence(self, attempt):
-        self.doctor.handle(attempt)
+    def _on_stall(self, attempt):
+        self.stall_handler.handle(attempt)
 
     def _count_routers(self):
         return self.peers.max_routers(time.monotonic())
 
-    def _place(self):
+    def _polling_slot(self):
         return self.peers.polling_slot()
 
     def _role(self):
         return self.peers.role()
 
-    def _store_touches(self):
+    def _store_statuses(self):
         return self.peers.store_statuses(time.monotonic())
 
     def start(self):
-        """Start listeners, actors and threads."""
+        """Start servers, actors and threads."""
         settings = self.settings
         self.placer = placing.Placer.start(
             self.view,
@@ -125,7 +127,7 @@
             self.installation.engines,
             settings.router_id,
             self.metrics,
-            self._store_touches,
+            self._store_statuses,
             lambda message: self.directory.tell(message),
             self.followers.suspect_outage,
         )
@@ -134,7 +136,7 @@
             self.view,
             self.metrics,
             self.connections,
-            self._look,
+            self._check_placement,
             self._apply_limits,
         )
         tell = self.directory.tell
@@ -144,49 +146,51 @@
         )
         followers.add('table', self.installation.table, True, tell)
         followers.add('endpoints', self.installation.endpoints, False, tell)
-        self.parts = [followers.start(), self.peers.start()]
+        self.components = [followers.start(), self.peers.start()]
         self.gossip = gossip.make_gossip(settings, self.view, self.peers, tell)
         self.screen.on_update = self.gossip.request_send
         self.forwarder.sender.on_limit = self.gossip.request_send
-        self.parts.append(self.gossip.start())
-        self.looking = periodic.start(LOOK_SECONDS, self._look_round)
+        self.components.append(self.gossip.start())
+        self.periodic_checks = periodic.start(
+            CHECK_SECONDS, self._run_periodic_checks
+        )
         logs.event(LOG, 'started', router=settings.router_id)
 
     def _listen(self):
         settings = self.settings
         limits = routing.CallerLimits()
         host = settings.host
-        plans = (
+        listeners = (
             (settings.caller_listen, CALLER_THREADS, self.forwarder.serve),
             (settings.ready_listen, READY_THREADS, self.serve_ready),
             (f'{host}:{settings.peer_port}', READY_THREADS, self.serve_peer),
             (f'{host}:{settings.metrics_port}', (1, 4), self.serve_metrics),
         )
-        for address, threads, handle in plans:
-            server = exchange.make_server(address, threads, handle, limits)
+        for address, threads, handler in listeners:
+            server = exchange.make_server(address, threads, handler, limits)
             server.prepare()
             threading.Thread(target=server.serve, daemon=True).start()
             self.servers.append(server)
-        self.front = self.servers[0]
+        self.caller_server = self.servers[0]
 
     def _apply_limits(self, table):
-        exchange.apply_limits(self.front, table.limits)
+        exchange.apply_limits(self.caller_server, table.limits)
 
-    def _look(self):
-        self.placer.tell(placing.Look())
+    def _check_placement(self):
+        self.placer.tell(placing.CheckPlacement())
 
-    def _look_round(self):
-        self._look()
+    def _run_periodic_checks(self):
+        self._check_placement()
         self.directory.tell(directory.Tick())
-        self.doctor.run_checks()
+        self.stall_handler.run_checks()
 
     def serve_ready(self, call):
-        """Say whether new connections may come here."""
-        ready = self.view.is_ready and not self.is_ending
+        """Answer a readiness check: 200 if new connections are accepted."""
+        ready = self.view.is_ready and not self.is_shutting_down
         call.answer(200 if ready else 503, [], b'')
 
     def serve_peer(self, call):
-        """Tell another router what this one knows."""
+        """Serve this router's state to another router."""
         path, _, query = call.target.partition('?')
         version = query.partition('=')[2]
         if path != peers.STATE_PATH or not version.isdigit():
@@ -196,7 +200,7 @@
         call.answer(200, [('Content-Type', 'application/json')], body)
 
     def serve_metrics(self, call):
-        """Give counters and quantiles as text."""
+        """Serve counters and quantiles as text."""
         counters = self.metrics.counters
         counters['log_lines_dropped'] = self.log_writer.dropped
         counters['gossip_bytes_told'] = self.gossip.bytes_sent
@@ -210,59 +214,62 @@
         call.answer(200, [('Content-Type', 'text/plain')], body)
 
     def run(self, path):
-        """Run until told to end.
+        """Run until a signal to stop.
 
         Parameters
         ----------
         path : str
-            Settings file, read again at SIGHUP.
+            Settings file, reloaded at SIGHUP.
         """
         self.log_writer = logwriter.configure(self.settings.log_level)
-        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, self._on_signal)
+        for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            signal.signal(signal_number, self._on_signal)
         self.start()
         while True:
             self.signalled.wait()
             self.signalled.clear()
             while self.signals:
-                number = self.signals.pop(0)
-                if number == signal.SIGHUP:
+                signal_number = self.signals.pop(0)
+                if signal_number == signal.SIGHUP:
                     self.reload(path)
                 else:
-                    self.end()
+                    self.shut_down()
                     return
 
-    def _on_signal(self, number, frame):
-        self.signals.append(number)
+    def _on_signal(self, signal_number, frame):
+        self.signals.append(signal_number)
         self.signalled.set()
 
     def reload(self, path):
-        """Read the settings again; a bad file leaves the old ones."""
+        """Reload the settings file; an invalid file changes nothing.
+
+        Of the new values, only `log_level` and `grace_s` take effect.
+        """
         try:
-            fresh = settings_module.load(path)
+            loaded = settings_module.load(path)
         except exceptions.InvalidSetting as error:
             logs.event(LOG, 'reload_refused', why=error.detail)
             return
         changed = [
             name
-            for name in fresh.__struct_fields__
-            if getattr(fresh, name) != getattr(self.settings, name)
+            for name in loaded.__struct_fields__
+            if getattr(loaded, name) != getattr(self.settings, name)
         ]
-        self.settings.log_level = fresh.log_level
-        logging.getLogger().setLevel(fresh.log_level)
-        self.settings.grace_s = fresh.grace_s
+        self.settings.log_level = loaded.log_level
+        logging.getLogger().setLevel(loaded.log_level)
+        self.settings.grace_s = loaded.grace_s
         logs.event(LOG, 'reloaded', changed=changed)
 
-    def end(self):
-        """Finish what runs, then stop."""
-        begun = time.monotonic()
-        self.is_ending = True
-        self.forwarder.stopping_at = begun
-        self.forwarder.refuse_after = begun + shutdown.ACCEPT_SECONDS
+    def shut_down(self):
+        """Drain running requests, then exit."""
+        started_at = time.monotonic()
+        self.is_shutting_down = True
+        self.forwarder.stopping_at = started_at
+        self.forwarder.refuse_after = started_at + shutdown.ACCEPT_SECONDS
         logs.event(LOG, 'ending', active=self.forwarder.active)
         while True:
-            time.sleep(END_TICK)
-            elapsed = time.monotonic() - begun
+            time.sleep(SHUTDOWN_POLL_SECONDS)
+            elapsed = time.monotonic() - started_at
             if shutdown.may_exit(
                 elapsed, self.forwarder.active, self.settings.grace_s
             ):
@@ -271,21 +278,21 @@
             LOG,
             'ended',
             active=self.forwarder.active,
-            seconds=round(time.monotonic() - begun, 2),
+            seconds=round(time.monotonic() - started_at, 2),
         )
         if self.log_writer is not None:
             self.log_writer.listener.stop()
-        # Threads that still read from an endpoint or an idle caller would
-        # hold the interpreter past the grace time, to be killed then.
+        # Threads that still read from an endpoint or an idle caller would keep
+        # the interpreter alive past the grace time, until it is killed.
         os._exit(0)
 
     def stop(self):
-        """Stop all threads."""
-        for part in self.parts:
+        """Stop all servers, actors and threads."""
+        for part in self.components:
             part.stop()
-        periodic.stop_all([self.looking])
+        periodic.stop_all([self.periodic_checks])
         self.watcher.stop()
-        self.doctor.stop()
+        self.stall_handler.stop()
         for server in self.servers:
             server.stop()
         pykka.ActorRegistry.stop_all(timeout=1.0)
--- a/packages/gateway/ibisring_gateway/tests/builders.py
+++ b/packages/gateway/ibisring_gateway/tests/builders.py
@@ -1,4 +1,4 @@
-"""Fakes of the installation, and parts put together for tests."""
+"""Fakes of the platform interfaces, and builders for tests."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """A clock that moves when told."""
+    """A clock that is set by the test."""
 
     def __init__(self):
         self.now = 1000.0
@@ -21,7 +21,7 @@
 
 
 class Metrics:
-    """Counts nothing."""
+    """Metrics that record nothing."""
 
     def count(self, name, amount=1):
         """Ignore a count."""
@@ -31,26 +31,26 @@
 
 
 class Leases(ports.LeaseTable):
-    """A lease row in memory; `fails` is an error to raise."""
+    """Lease and router rows in memory; `error` is raised if it is set."""
 
     def __init__(self):
         self.row = None
         self.version = 0
-        self.fails = None
+        self.error = None
         self.reads = 0
         self.routers = {}
 
-    def _check(self):
-        if self.fails is not None:
-            raise self.fails
+    def _raise_error(self):
+        if self.error is not None:
+            raise self.error
 
     def read_lease(self):
         self.reads += 1
-        self._check()
+        self._raise_error()
         return self.row
 
     def write_lease(self, row):
-        self._check()
+        self._raise_error()
         if row.version != self.version:
             return None
         self.version += 1
@@ -58,27 +58,27 @@
         return self.row
 
     def write_router(self, row):
-        self._check()
+        self._raise_error()
         self.routers[row.name] = row
 
     def read_routers(self):
-        self._check()
+        self._raise_error()
         return list(self.routers.values())
 
 
 class Engines(ports.EngineControl):
-    """Engines by address.
+    """Fake engines, identified by address.
 
     Attributes
     ----------
     unreachable : set of str
-        Addresses that do not answer.
+        Addresses of engines that do not answer.
     delays : dict of str to float
-        Seconds after which addresses answer.
+        Seconds after which the engines at some addresses answer.
     placed, rerouted : list
         Orders received.
     result : ports.OrderResult
-        Given to each order.
+        Returned for each order.
     """
 
     def __init__(self):
@@ -95,10 +95,10 @@
 
     def status(self, address, timeout):
         self.queried.append(address)
-        late = self.delays.get(address, 0.0)
-        if address in self.unreachable or late > timeout:
+        delay = self.delays.get(address, 0.0)
+        if address in self.unreachable or delay > timeout:
             raise exceptions.PlatformUnavailable(address)
-        time.sleep(late)
+        time.sleep(delay)
         return ports.EngineStatus(
             orders=self.orders, busy=self.busy, holding=self.holding
         )
@@ -113,8 +113,8 @@
         return self.result
 
 
-def make_view(endpoints, table=None, **facts):
-    """Give a view that knows some endpoints."""
+def make_view(endpoints, table=None, **fields):
+    """Make a view whose snapshot has the given endpoints."""
     view = view_module.make_view('a')
     table = table or policybuilders.table()
     by_service = {}
@@ -125,6 +125,6 @@
         endpoints={e.id: e for e in endpoints},
         by_service=by_service,
         endpoints_known=True,
-        **facts,
+        **fields,
     )
     return view
--- a/packages/gateway/ibisring_gateway/tests/test_placing.py
+++ b/packages/gateway/ibisring_gateway/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Tests of the actor that orders engines."""
+"""Tests of the actor that plans placement and orders engines."""
 
 import time
 
@@ -12,7 +12,7 @@
 from ibisring_policy.gateway.tests import builders as build
 from ibisring_records import exceptions
 
-# An engine that alone holds its layers in its failure domain.
+# The only engine that holds its layers in its failure domain.
 LOST = 'b-wide-0'
 
 
@@ -33,201 +33,198 @@
     return found
 
 
-def _placer(view, leases=None, engines=None, touches=None, told=None):
+def _placer(view, leases=None, engines=None, statuses=None, reports=None):
     placer = placing.Placer(
         view,
         leases or builders.Leases(),
         engines or builders.Engines(),
         'r1',
         builders.Metrics(),
-        lambda: touches or {},
-        (told if told is not None else []).append,
+        lambda: statuses or {},
+        (reports if reports is not None else []).append,
         lambda: None,
     )
-    placer.turn = layerorders.make_lease('r1', 0.0)
-    placer.arrivals.changed_at = -100.0
+    placer.lease = layerorders.make_lease('r1', 0.0)
+    placer.registrations.changed_at = -100.0
     return placer
 
 
-def _look(placer, times=3):
+def _check(placer, times=3):
     for _ in range(times):
-        placer.turn.read_again_at = -100.0
-        placer.on_look(placing.Look())
+        placer.lease.read_again_at = -100.0
+        placer.on_check(placing.CheckPlacement())
 
 
-def test_a_good_layout_needs_neither_lease_nor_order():
+def test_complete_layout_needs_neither_lease_nor_orders():
     leases, engines = builders.Leases(), builders.Engines()
     placer = _placer(builders.make_view(_endpoints()), leases, engines)
-    _look(placer)
+    _check(placer)
     assert (leases.reads, engines.placed) == (0, [])
 
 
-def test_lost_layers_are_ordered_by_count_once():
+def test_lost_layers_are_ordered_once_with_the_order_count():
     engines = builders.Engines()
-    left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.make_view(left), engines=engines)
-    _look(placer, times=5)
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    placer = _placer(builders.make_view(remaining), engines=engines)
+    _check(placer, times=5)
     names = [name for name, _, _ in engines.placed]
     assert names and len(names) == len(set(names))
     assert all(expected == 1 for _, _, expected in engines.placed)
 
 
-def test_nobody_orders_without_the_lease():
-    """Symptom: two routers order one engine back and forth.
+def test_no_orders_without_the_lease():
+    """Guards against two routers sending one engine contradicting orders.
 
-    Sequence: another router has just taken the lease for the same loss.
-    Cause: both see it at the same moment.
+    Both see the same loss at the same moment; the other has the lease.
     """
     leases, engines = builders.Leases(), builders.Engines()
     leases.row = layerorders.LeaseRow('r2', 1, 1)
     leases.version = 1
-    left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.make_view(left), leases, engines)
-    _look(placer)
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    placer = _placer(builders.make_view(remaining), leases, engines)
+    _check(placer)
     assert engines.placed == []
 
 
-def test_a_store_that_is_away_orders_nothing():
+def test_no_orders_when_the_store_first_fails():
     leases, engines = builders.Leases(), builders.Engines()
-    left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.make_view(left), leases, engines)
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    placer = _placer(builders.make_view(remaining), leases, engines)
     for error in (
         exceptions.PlatformUnavailable('503'),
         exceptions.PlatformAnswerLost('timeout'),
     ):
-        leases.fails = error
-        _look(placer)
+        leases.error = error
+        _check(placer)
     assert engines.placed == []
 
 
-def _placer_without_store(touches, told=None):
+def _placer_without_store(statuses, reports=None):
     engines = builders.Engines()
-    left = [e for e in _endpoints() if e.id != LOST]
-    view = builders.make_view(left, store_lost_at=-100.0)
-    placer = _placer(view, engines=engines, touches=touches, told=told)
-    placer.leases.fails = exceptions.PlatformUnavailable('503')
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    view = builders.make_view(remaining, store_lost_at=-100.0)
+    placer = _placer(view, engines=engines, statuses=statuses, reports=reports)
+    placer.lease_table.error = exceptions.PlatformUnavailable('503')
     return placer, engines
 
 
-def test_one_router_orders_while_the_store_is_away():
-    """Symptom: a failure domain serves nothing for eight seconds.
+def test_one_router_orders_during_a_store_outage():
+    """Guards against a failure domain without service in a store outage.
 
-    Sequence: the store goes away; an engine that alone holds its layers is
-    lost; nobody can take the lease.
-    Cause: orders needed the store, although each engine itself refuses
-    those that do not carry its count.
+    The only engine that holds its layers is lost while no router can acquire
+    the lease.  Orders are safe without the store, as each engine refuses
+    those that don't carry its order count.
     """
     lost = layerorders.StoreStatus.LOST
     placer, engines = _placer_without_store({'r2': lost, 'r3': lost})
-    _look(placer, times=5)
+    _check(placer, times=5)
     names = [name for name, _, _ in engines.placed]
     assert names and len(names) == len(set(names))
     assert all(expected == 1 for _, _, expected in engines.placed)
 
 
 @pytest.mark.parametrize(
-    'touches',
+    'statuses',
     [
         {'r2': layerorders.StoreStatus.FOLLOWING},
         {'r0': layerorders.StoreStatus.LOST},
     ],
 )
-def test_others_do_not_order_while_the_store_is_away(touches):
-    """Symptom: an engine is ordered back and forth in an outage.
+def test_other_routers_do_not_order_during_a_store_outage(statuses):
+    """Guards against contradicting orders to an engine in a store outage.
 
-    Sequence: the store turns this router away and serves another; or all
-    are turned away and each sees the same loss.
-    Cause: whoever noticed the loss ordered.
+    Either the store fails for this router only, or it fails for all and each
+    router sees the same loss; only one of them may send orders.
     """
-    placer, engines = _placer_without_store(touches)
-    _look(placer)
+    placer, engines = _placer_without_store(statuses)
+    _check(placer)
     assert engines.placed == []
 
 
-def test_a_router_that_has_just_started_plans_nothing():
-    """Symptom: twenty engines are moved at once; 335 requests are refused.
+def test_router_that_has_just_started_orders_nothing():
+    """Guards against reassigning engines whose entries have yet to return.
 
-    Sequence: all routers are killed while the store is away; they start and
-    it returns; of 38 entries that lapsed the first eight are back.
-    Cause: a router that knows nothing of before takes the rest for gone.
+    All routers restart in a store outage; when it ends, the first eight of 38
+    expired entries are back.  A router without earlier state would take the
+    other engines for lost: 20 engines reassigned at once, 335 requests
+    refused.
     """
     engines = builders.Engines()
     few = _endpoints()[-8:]
     now = time.monotonic()
     view = builders.make_view(few, known_since=now)
     placer = _placer(view, engines=engines)
-    _look(placer)
+    _check(placer)
     assert engines.placed == []
     grown = now - presence.REREGISTER_SECONDS
     placer.view = builders.make_view(few, known_since=grown)
-    _look(placer)
+    _check(placer)
     assert engines.placed
 
 
-def test_a_lease_that_is_refused_shows_an_outage():
-    """Symptom: nobody orders for the first two seconds of an outage.
+def test_refused_lease_call_indicates_an_outage():
+    """Guards against no orders in the first two seconds of a store outage.
 
-    Sequence: the store goes away while each router's call for changes
-    waits there; those calls stay silent, others are refused at once.
-    Cause: only the calls for changes told that the store is lost.
+    Each router's long poll for changes hangs while other calls are refused at
+    once; a refused lease call must count as a sign of the outage too.
     """
     engines, leases = builders.Engines(), builders.Leases()
-    left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.make_view(left), leases, engines)
-    leases.fails = exceptions.PlatformUnavailable('503')
-    _look(placer)
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    placer = _placer(builders.make_view(remaining), leases, engines)
+    leases.error = exceptions.PlatformUnavailable('503')
+    _check(placer)
     assert engines.placed == []
     assert placer.view.store_status is layerorders.StoreStatus.LOST
     placer.view.lease_lost_at -= layerorders.MIN_OUTAGE_SECONDS
-    _look(placer)
+    _check(placer)
     assert engines.placed
-    placer.turn.note_lost()
+    placer.lease.note_lost()
     placer.orders.pending.clear()
-    leases.fails = None
-    _look(placer)
+    leases.error = None
+    _check(placer)
     assert placer.view.store_status is layerorders.StoreStatus.FOLLOWING
 
 
-def test_engines_are_asked_what_they_hold_while_the_store_is_away():
-    told = []
-    placer, engines = _placer_without_store({}, told)
-    _look(placer, times=1)
+def test_ordered_engines_are_queried_during_a_store_outage():
+    reports = []
+    placer, engines = _placer_without_store({}, reports)
+    _check(placer, times=1)
     ordered = {name for name, _, _ in engines.placed}
     engines.holding = build.holding(0, 9)
-    _look(placer, times=1)
-    assert {message.id for message in told} == ordered
-    assert {message.holding for message in told} == {engines.holding}
+    _check(placer, times=1)
+    assert {message.id for message in reports} == ordered
+    assert {message.holding for message in reports} == {engines.holding}
     assert set(placer.view.holdings_to_send(placer.view.clock())) == ordered
 
 
-def test_a_busy_engine_is_not_ordered():
+def test_busy_engine_is_not_ordered():
     engines = builders.Engines()
     engines.busy = True
-    left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.make_view(left), engines=engines)
-    _look(placer)
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    placer = _placer(builders.make_view(remaining), engines=engines)
+    _check(placer)
     assert engines.placed == []
     assert engines.queried
 
 
-def test_an_engine_that_is_believed_lost_is_planned_without():
+def test_dead_engine_is_left_out_of_the_plan():
     engines = builders.Engines()
     view = builders.make_view(_endpoints())
     placer = _placer(view, engines=engines)
     view.estimates.get(LOST).dead = True
     view.estimates.get(LOST).dead_at = -100.0
     view.estimates.get(LOST).ejected_until = 1e12
-    _look(placer)
+    _check(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
 
 
-def test_an_engine_that_seems_to_leave_is_planned_without():
-    """Symptom: a failure domain refuses requests until an outage ends.
+def test_engine_that_seems_to_leave_is_left_out_of_the_plan():
+    """Guards against refusals in a failure domain until an outage ends.
 
-    Sequence: the store is away; an engine leaves and refuses everything; its
-    entry can't say so, and it answers its status.
-    Cause: it counted as a holder of its layers.
+    In a store outage the entry of an engine that leaves can't change, and the
+    engine still answers status queries while it refuses all requests; it must
+    not count as a holder of its layers.
     """
     engines = builders.Engines()
     view = builders.make_view(_endpoints())
@@ -235,42 +232,42 @@
     now = time.monotonic()
     for at in (now - 1.4, now - 1.05, now - 0.4):
         view.estimates.note_refusal(LOST, at, has_memory=True)
-    _look(placer)
+    _check(placer)
     assert engines.placed
     assert LOST not in [name for name, _, _ in engines.placed]
 
 
-def test_an_unanswered_order_is_not_repeated_at_once():
-    """Symptom: an engine carries out an order that was already replaced.
+def test_unanswered_order_is_not_repeated_at_once():
+    """Guards against an engine carrying out an order already replaced.
 
-    Sequence: an order gets no answer and is carried out seconds later.
-    Cause: nobody knows whether it began; a second one at once would race it.
+    An order without an answer may still be carried out seconds later; a
+    second one sent at once would race with it.
     """
     engines = builders.Engines()
     engines.result = ports.OrderResult.UNKNOWN
-    left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.make_view(left), engines=engines)
-    _look(placer, times=5)
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    placer = _placer(builders.make_view(remaining), engines=engines)
+    _check(placer, times=5)
     names = [name for name, _, _ in engines.placed]
     assert names and len(names) == len(set(names))
 
 
-def test_orders_carry_the_term_and_end_when_a_later_one_is_known():
-    """Symptom: a holder that was paused orders over its successor.
+def test_orders_carry_the_term_and_stop_at_a_later_one():
+    """Guards against a paused lease holder overriding its successor.
 
-    Sequence: it checks its lease, freezes, and sends when it wakes.
-    Cause: the check was true when it was made; only the engine can tell.
+    It checks its lease, is suspended, and sends orders when it resumes; only
+    the engine can detect the old term.
     """
     engines = builders.Engines()
     engines.result = ports.OrderResult.STALE
-    left = [e for e in _endpoints() if e.id != LOST]
-    placer = _placer(builders.make_view(left), engines=engines)
-    placer.turn.read_again_at = -100.0
-    placer.on_look(placing.Look())
-    # Orders of one look go out together; none follows them.
-    assert set(engines.tokens) == {placer.turn.term}
-    assert not placer.turn.is_held(0.0)
+    remaining = [e for e in _endpoints() if e.id != LOST]
+    placer = _placer(builders.make_view(remaining), engines=engines)
+    placer.lease.read_again_at = -100.0
+    placer.on_check(placing.CheckPlacement())
+    # The orders of one check are sent concurrently; none follow.
+    assert set(engines.tokens) == {placer.lease.term}
+    assert not placer.lease.is_held(0.0)
     sent = len(engines.tokens)
-    placer.leases.fails = exceptions.PlatformUnavailable('503')
-    _look(placer)
+    placer.lease_table.error = exceptions.PlatformUnavailable('503')
+    _check(placer)
     assert len(engines.tokens) == sent
