--- a/packages/gateway/ibisring_gateway/exchange.py
+++ b/packages/gateway/ibisring_gateway/exchange.py
@@ -56,13 +56,13 @@
 
     Attributes
     ----------
-    begun : bool
+    headers_sent : bool
         Whether the status line and headers of an answer were written.
     """
 
     def __init__(self, request):
         self.request = request
-        self.begun = False
+        self.headers_sent = False
         self.status = 0
         self.sent = 0
 
@@ -125,7 +125,7 @@
             for name, value in headers
             if name.lower() not in HOP_BY_HOP
         ]
-        self.begun = True
+        self.headers_sent = True
         self.status = status
         try:
             request.ensure_headers_sent()
--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -97,7 +97,7 @@
             exchange.abort()
             self.metrics.count('internal_errors')
             LOG.exception('request_failed %s', request_id)
-            if not exchange.begun:
+            if not exchange.headers_sent:
                 error = exceptions.IbisringError('internal error')
                 self._send_error(exchange, request_id, error, started)
         finally:
@@ -107,7 +107,7 @@
                 exchange.close_after()
 
     def _send_error(self, exchange, request_id, error, started):
-        if exchange.begun:
+        if exchange.headers_sent:
             # The caller has received part of an answer.  An error written
             # after it would terminate that answer as if it were complete; the
             # caller detects the truncation only if nothing more is written.
@@ -164,11 +164,13 @@
         service = snapshot.index.pick_service(match.route, self.rng.random())
         if service is None:
             raise exceptions.NoEndpoint('the route has no service', 1.0)
-        limit = match.route.timeout
+        time_limit = match.route.timeout
         if request.time_limit is not None:
-            limit = min(limit, request.time_limit - ANSWER_MARGIN_SECONDS)
+            time_limit = min(
+                time_limit, request.time_limit - ANSWER_MARGIN_SECONDS
+            )
         job = jobs.Job(
-            exchange, request, match, service, started, started + limit
+            exchange, request, match, service, started, started + time_limit
         )
         with self.view.lock:
             self.retry_budget.count_request(started)
@@ -212,7 +214,7 @@
             now = self.clock()
             progress = job.progress
             progress.time_left = job.deadline - now
-            progress.delivering = job.exchange.begun
+            progress.delivering = job.exchange.headers_sent
             progress.has_retry_budget = True
             step = attempts.decide(result, progress)
             if step in CONTINUING and progress.sent_to:
@@ -295,7 +297,7 @@
         if not self.screen.wait_until_allowed(job):
             return attempts.Result.SUSPECTED
         choice = self.selector.choose(job, self.clock())
-        if choice is None and job.exchange.begun:
+        if choice is None and job.exchange.headers_sent:
             choice = self._wait_for_choice(job)
         if choice is None and job.progress.tries:
             job.progress.refusals = attempts.MAX_REFUSALS
--- a/packages/gateway/ibisring_gateway/jobs.py
+++ b/packages/gateway/ibisring_gateway/jobs.py
@@ -27,7 +27,7 @@
     splitter : events.EventSplitter
     progress : attempts.Progress
     digest : bytes
-        The same for each attempt of a request, see `identity`.
+        The same for each attempt of a request, see `requestdigest`.
     is_suspect : bool
         Whether it may have crashed an endpoint.
     avoid : set of str
--- a/packages/gateway/ibisring_gateway/liveness.py
+++ b/packages/gateway/ibisring_gateway/liveness.py
@@ -1,8 +1,8 @@
 """Checks whether an endpoint has crashed, after an answer of it was lost.
 
-Answers are also lost by endpoints that run on, by failing links and by links
-that stall.  Only a closed port, or a later start time, shows that the process
-that had the request has exited.
+Answers are also lost when a running endpoint drops them, when a link fails or
+when an endpoint is frozen.  Only a closed port, or a later start time, shows
+that the process that had the request has exited.
 """
 
 __all__ = ['Prober', 'make_prober']
--- a/packages/gateway/ibisring_gateway/placing.py
+++ b/packages/gateway/ibisring_gateway/placing.py
@@ -50,7 +50,7 @@
         Returns the store statuses reported lately by other routers, by name.
     send_to_directory : callable
         Takes `directory.HoldingReport` messages.
-    on_store_failure : callable
+    on_outage_suspected : callable
         Called when the store does not answer.
     """
 
@@ -63,13 +63,13 @@
         metrics,
         store_statuses,
         send_to_directory,
-        on_store_failure,
+        on_outage_suspected,
     ):
         super().__init__()
         self.router_id = router_id
         self.store_statuses = store_statuses
         self.send_to_directory = send_to_directory
-        self.on_store_failure = on_store_failure
+        self.on_outage_suspected = on_outage_suspected
         self.pool = concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_CALLS)
         self.view = view
         self.engines = engines
@@ -230,7 +230,7 @@
             written = self.lease_table.write_lease(row_to_write)
         except exceptions.IbisringError as error:
             logs.event(LOG, 'lease_unavailable', why=error.detail)
-            self.on_store_failure()
+            self.on_outage_suspected()
             if self.view.lease_lost_at is None:
                 self.view.lease_lost_at = time.monotonic()
             return self._lead_without_store()
--- a/packages/gateway/ibisring_gateway/screening.py
+++ b/packages/gateway/ibisring_gateway/screening.py
@@ -55,7 +55,7 @@
         ------
         CallerDisconnected
         """
-        if job.exchange.begun:
+        if job.exchange.headers_sent:
             return True
         end = min(job.deadline, self.clock() + MAX_WAIT_SECONDS)
         while True:
@@ -79,7 +79,7 @@
 
     def record_start(self, job, attempt):
         """Record that a suspect is being sent to an endpoint."""
-        if job.is_suspect and not job.exchange.begun:
+        if job.is_suspect and not job.exchange.headers_sent:
             with self.view.lock:
                 self.view.suspects.mark_running(
                     job.digest, attempt.endpoint.id
@@ -94,12 +94,12 @@
     def record_answer(self, job):
         """Record that an endpoint has answered a request, or begun to."""
         with self.view.lock:
-            known = self.view.suspects
-            before = known.local_changes
-            known.mark_finished(job.digest)
-            known.answered(job.digest, self.clock())
-            found = known.local_changes > before
-        if found:
+            tracked = self.view.suspects
+            changes_before = tracked.local_changes
+            tracked.mark_finished(job.digest)
+            tracked.answered(job.digest, self.clock())
+            has_changed = tracked.local_changes > changes_before
+        if has_changed:
             self._log_suspect(job.digest, 0)
             self.on_update()
 
@@ -126,28 +126,28 @@
 
         A stream of which some endpoint has delivered a part is not the cause.
         """
-        if job.exchange.begun or job.request.after_event:
+        if job.exchange.headers_sent or job.request.after_event:
             return False
         return self.clock() - attempt.sent_at < suspects.LOST_ANSWER_SECONDS
 
     def _record_crash(self, job, endpoint):
         now = self.clock()
         with self.view.lock:
-            known = self.view.suspects
-            before, forgotten = known.local_changes, known.evicted
-            known.crashed(job.digest, endpoint.id, endpoint.started, now)
-            found = known.local_changes > before
-            ends = known.verdict(job.digest, now).crashes
-            forgotten = known.evicted - forgotten
-        if forgotten:
-            self.metrics.count('suspects_forgotten', forgotten)
-        if found:
+            tracked = self.view.suspects
+            changes_before, evicted = tracked.local_changes, tracked.evicted
+            tracked.crashed(job.digest, endpoint.id, endpoint.started, now)
+            has_changed = tracked.local_changes > changes_before
+            crashes = tracked.verdict(job.digest, now).crashes
+            evicted = tracked.evicted - evicted
+        if evicted:
+            self.metrics.count('suspects_forgotten', evicted)
+        if has_changed:
             self.metrics.count('endpoints_ended_by_requests')
-            self._log_suspect(job.digest, ends, endpoint=endpoint.id)
+            self._log_suspect(job.digest, crashes, endpoint=endpoint.id)
             self.on_update()
 
-    def _log_suspect(self, digest, ends, **facts):
-        logs.event(LOG, 'suspect', digest=digest.hex(), ends=ends, **facts)
+    def _log_suspect(self, digest, crashes, **facts):
+        logs.event(LOG, 'suspect', digest=digest.hex(), ends=crashes, **facts)
 
 
 def make_screen(view, prober, metrics):
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -170,7 +170,7 @@
             return self._handle_refusal(job, attempt, answer)
         job.progress.may_have_run = True
         fault = _answer_fault(answer)
-        if job.exchange.begun and answer.status != 200:
+        if job.exchange.headers_sent and answer.status != 200:
             # The caller has received part of a stream.  An answer with another
             # status doesn't continue it, and relaying it would terminate the
             # stream as if it were complete.
@@ -285,7 +285,7 @@
         progress = job.progress
         return (
             progress.repeatable
-            and not job.exchange.begun
+            and not job.exchange.headers_sent
             and progress.sent_to < progress.max_endpoints
             and job.deadline - self.clock()
             > 2 * attempts.MIN_TIME_LEFT_SECONDS
@@ -308,7 +308,7 @@
                 job.record_chunk(now)
                 if attempt.events == 1:
                     self.screen.record_answer(job)
-                if not exchange.begun:
+                if not exchange.headers_sent:
                     exchange.begin(
                         answer.status, _stream_headers(answer.headers)
                     )
@@ -323,7 +323,7 @@
             self.view.estimates.note_response(
                 attempt.endpoint.id, False, self.clock()
             )
-        if not exchange.begun:
+        if not exchange.headers_sent:
             exchange.begin(answer.status, _stream_headers(answer.headers))
         exchange.write(job.splitter.partial)
         job.answer = answer
--- a/packages/gateway/ibisring_gateway/tests/test_forwarding.py
+++ b/packages/gateway/ibisring_gateway/tests/test_forwarding.py
@@ -13,8 +13,8 @@
 class _Exchange:
     """Records what is written to the caller."""
 
-    def __init__(self, begun):
-        self.begun = begun
+    def __init__(self, headers_sent):
+        self.headers_sent = headers_sent
         self.written = []
         self.aborted = False
 
@@ -30,12 +30,12 @@
         return error.status, [], b'error'
 
 
-def _send_error(begun):
+def _send_error(headers_sent):
     view = builders.make_view([])
     forwarder = forwarding.make_forwarder(
         view, _Codec(), None, None, None, lambda: 1, builders.Metrics(), None
     )
-    exchange = _Exchange(begun)
+    exchange = _Exchange(headers_sent)
     error = exceptions.Interrupted('the last attempt ended', 1.0)
     forwarder._send_error(exchange, 'a1', error, view.clock())
     return exchange
@@ -47,12 +47,12 @@
     An error answer written after part of a stream would terminate the stream
     as if it were complete.
     """
-    exchange = _send_error(begun=True)
+    exchange = _send_error(headers_sent=True)
     assert exchange.aborted and not exchange.written
 
 
 def test_error_is_the_answer_if_nothing_was_written():
-    exchange = _send_error(begun=False)
+    exchange = _send_error(headers_sent=False)
     assert exchange.written == [exceptions.Interrupted.status]
     assert not exchange.aborted
 
--- a/packages/gateway/ibisring_gateway/tests/test_screening.py
+++ b/packages/gateway/ibisring_gateway/tests/test_screening.py
@@ -17,12 +17,12 @@
     """Gives the same result for each endpoint."""
 
     def __init__(self, has_crashed):
-        self.answer = has_crashed
+        self.result = has_crashed
         self.checked = 0
 
     def has_crashed(self, endpoint):
         self.checked += 1
-        return self.answer
+        return self.result
 
 
 def _screen(has_crashed=True):
@@ -32,20 +32,20 @@
     )
 
 
-def _job(screen, begun=False, after_event=None):
+def _job(screen, headers_sent=False, after_event=None):
     return types.SimpleNamespace(
         digest=DIGEST,
         is_suspect=False,
-        exchange=types.SimpleNamespace(begun=begun),
+        exchange=types.SimpleNamespace(headers_sent=headers_sent),
         request=types.SimpleNamespace(after_event=after_event),
         deadline=screen.clock() + 10.0,
     )
 
 
-def _attempt(screen, name='e1', ran=0.1):
+def _attempt(screen, name='e1', seconds_ago=0.1):
     endpoint = build.endpoint(name)
     attempt = watching.Attempt('a', endpoint, (), screen.clock() + 10.0)
-    attempt.sent_at = screen.clock() - ran
+    attempt.sent_at = screen.clock() - seconds_ago
     return attempt
 
 
@@ -71,7 +71,9 @@
     assert _crashes(screen) == 0
 
 
-@pytest.mark.parametrize('changes', [{'begun': True}, {'after_event': 4}])
+@pytest.mark.parametrize(
+    'changes', [{'headers_sent': True}, {'after_event': 4}]
+)
 def test_partly_delivered_stream_is_not_blamed(changes):
     """Guards against refusing a stream whose engines crash one by one."""
     screen = _screen()
@@ -81,7 +83,7 @@
 
 def test_crash_long_after_sending_does_not_count():
     screen = _screen()
-    screen.check_lost_answer(_job(screen), _attempt(screen, ran=5.0))
+    screen.check_lost_answer(_job(screen), _attempt(screen, seconds_ago=5.0))
     assert _crashes(screen) == 0
 
 
@@ -107,7 +109,7 @@
     screen = _screen()
     for number in range(3):
         screen.check_lost_answer(_job(screen), _attempt(screen, f'e{number}'))
-    assert screen.wait_until_allowed(_job(screen, begun=True))
+    assert screen.wait_until_allowed(_job(screen, headers_sent=True))
 
 
 def test_answer_clears_a_suspect():
@@ -124,8 +126,8 @@
     job = _job(screen)
     assert screen.wait_until_allowed(job) and job.is_suspect
     screen.record_start(job, _attempt(screen, 'e2'))
-    known = screen.view.suspects
-    assert known.endpoints_at_risk(b'another!') == {'e2'}
-    assert known.endpoints_at_risk(DIGEST) == set()
+    tracked = screen.view.suspects
+    assert tracked.endpoints_at_risk(b'another!') == {'e2'}
+    assert tracked.endpoints_at_risk(DIGEST) == set()
     screen.record_end(job)
-    assert known.endpoints_at_risk(b'another!') == set()
+    assert tracked.endpoints_at_risk(b'another!') == set()
