--- a/packages/router/ibisring_router/controlapi.py
+++ b/packages/router/ibisring_router/controlapi.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators and peers, on a listener of its own."""
+"""HTTP interface for operators and peers, on a separate listener."""
 
 __all__ = ['ControlApi', 'make_app']
 
@@ -17,7 +17,7 @@
 
 
 class RecordView(msgspec.Struct, omit_defaults=True):
-    """A record as operators see it; `problem` says why it is unreadable."""
+    """A record as shown to operators; `problem` is why it is unreadable."""
 
     kind: str
     name: str
@@ -27,8 +27,8 @@
     problem: str = ''
 
 
-class InForce(msgspec.Struct):
-    """What is in force on one router."""
+class RouterStatus(msgspec.Struct):
+    """Status of one router and of the records that it applies."""
 
     router: str
     failure_domain: str
@@ -79,9 +79,9 @@
         self.peer_keys = peerkeys.peer_keys(settings)
 
     def _check_operator(self, request):
-        """Admit the operator key of the settings, or an operator account.
+        """Accept the operator key of the settings or of an operator account.
 
-        The settings' key works before any record is in force.
+        The key of the settings works before any records are active.
         """
         hashed = records.hash_key(routes.bearer_key(request))
         expected = self.settings.operator_key_sha256
@@ -93,8 +93,10 @@
             if name is not None:
                 if configuration.accounts[name].operator:
                     return
-                raise exceptions.Forbidden(f'account {name} is no operator')
-        raise exceptions.Unauthorized('this is no operator key')
+                raise exceptions.Forbidden(
+                    f'account {name} is not an operator'
+                )
+        raise exceptions.Unauthorized('not an operator key')
 
     def _check_peer(self, request):
         peerkeys.check_peer(request, self.peer_keys)
@@ -126,7 +128,7 @@
         name = request.args.get('name', '')
         schema = request.args.get('schema', '')
         views = [
-            _view(stored, schema)
+            _record_view(stored, schema)
             for stored in self.keeper.snapshot().records
             if not stored.deleted
             and kind in ('', stored.kind)
@@ -135,7 +137,7 @@
         views.sort(key=lambda view: (view.kind, view.name))
         return routes.json_response(views)
 
-    def in_force(self, request):
+    def router_status(self, request):
         self._check_operator(request)
         configuration = self.keeper.current
         unreadable = {}
@@ -143,7 +145,7 @@
             unreadable = configuration.unreadable
         state = self.peering.state()
         return routes.json_response(
-            InForce(
+            RouterStatus(
                 state.router,
                 state.failure_domain,
                 state.revision,
@@ -157,16 +159,16 @@
     def list_vms(self, request):
         self._check_operator(request)
         members = self.peering.read(lambda m: dict(m.members))
-        listed = [
+        entries = [
             {'id': vm.id, 'address': vm.address} for vm in members.values()
         ]
-        listed.append(
+        entries.append(
             {
                 'id': self.settings.router_id,
                 'address': self.settings.advertise,
             }
         )
-        return routes.json_response(sorted(listed, key=lambda v: v['id']))
+        return routes.json_response(sorted(entries, key=lambda v: v['id']))
 
     def burn_report(self, request):
         self._check_operator(request)
@@ -195,7 +197,7 @@
         since = request.args.get('since', -1, type=int)
         changes = self.keeper.changes_since(since)
         if changes is None or since < 0:
-            raise exceptions.NotFound(f'changes since {since}')
+            raise exceptions.NotFound(f'no changes since revision {since}')
         return routes.json_response(recordkeeping.ChangeList(changes))
 
     def peer_snapshot(self, request):
@@ -205,13 +207,13 @@
 
     def peer_vote(self, request):
         self._check_peer(request)
-        wanted = routes.read_body(request, claiming.VoteRequest)
-        return routes.json_response(self.claims.vote(wanted.claim))
+        vote_request = routes.read_body(request, claiming.VoteRequest)
+        return routes.json_response(self.claims.vote(vote_request.claim))
 
     def peer_release(self, request):
         self._check_peer(request)
-        wanted = routes.read_body(request, claiming.ReleaseRequest)
-        self.claims.release_here(wanted)
+        release_request = routes.read_body(request, claiming.ReleaseRequest)
+        self.claims.release_here(release_request)
         return routes.json_response({})
 
     def peer_answer(self, request, key):
@@ -229,10 +231,10 @@
         return routes.json_response({'status': 'ready'})
 
 
-def _view(stored, schema):
-    """Show a record as it is kept, or in another schema if one is named."""
+def _record_view(stored, schema):
+    """Return a record as stored, or converted to the schema if given."""
     if schema not in ('', 'v1', schemas.LATEST_SCHEMA):
-        raise exceptions.InvalidRequest(f'no schema {schema!r}')
+        raise exceptions.InvalidRequest(f'unknown schema {schema!r}')
     view = RecordView(
         stored.kind,
         stored.name,
@@ -253,12 +255,12 @@
 
 
 def make_rules(api):
-    """Give the routes of the control listener."""
+    """Return the routes of the control listener."""
     return [
         routes.route('POST', '/v1/records', api.submit),
         routes.route('GET', '/v1/records', api.list_records),
         routes.route('GET', '/v1/submissions/<submission_id>', api.settle),
-        routes.route('GET', '/v1/in-force', api.in_force),
+        routes.route('GET', '/v1/in-force', api.router_status),
         routes.route('GET', '/v1/vms', api.list_vms),
         routes.route('GET', '/v1/counters', api.counters),
         routes.route('GET', '/v1/burn', api.burn_report),
@@ -275,5 +277,5 @@
 
 
 def make_app(api):
-    """Make the WSGI application of the control listener."""
+    """Create the WSGI application of the control listener."""
     return routes.Application(make_rules(api))
--- a/packages/router/ibisring_router/logs.py
+++ b/packages/router/ibisring_router/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines, written for changes of state only."""
+"""Structured logging; lines are written only when some state changes."""
 
 __all__ = ['JsonFormatter', 'configure', 'event']
 
@@ -8,7 +8,7 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line, with the facts of the event."""
+    """Formats each record as one line of JSON, with the event's facts."""
 
     def format(self, record):
         line = {
@@ -32,5 +32,5 @@
 
 
 def event(logger, name, **facts):
-    """Log a change of state with its facts."""
+    """Log a change of state and the facts about it."""
     logger.info(name, extra={'facts': facts})
--- a/packages/router/ibisring_router/metrics.py
+++ b/packages/router/ibisring_router/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timers: kept in the process and sent by statsd."""
+"""Counters and timers, kept in the process and sent to statsd."""
 
 __all__ = ['Metrics', 'make_metrics']
 
@@ -9,14 +9,14 @@
 import statsd
 
 PREFIX = 'ibisring'
-# Durations are kept in microseconds up to a minute, to 2 digits.
-LONGEST = 60_000_000
-DIGITS = 2
+# Histograms hold microseconds up to a minute, to 2 significant digits.
+MAX_MICROSECONDS = 60_000_000
+SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Metrics:
-    """Counts events; what `statsd` is sent is also kept for `/v1/counters`.
+    """Counts events, for statsd and for `/v1/counters`.
 
     Parameters
     ----------
@@ -41,26 +41,30 @@
     def time(self, name, seconds):
         """Record a duration."""
         with self.lock:
-            known = self.histograms.get(name)
-            if known is None:
-                known = histogram.HdrHistogram(1, LONGEST, DIGITS)
-                self.histograms[name] = known
-            known.record_value(min(LONGEST, max(1, int(seconds * 1e6))))
+            durations = self.histograms.get(name)
+            if durations is None:
+                durations = histogram.HdrHistogram(
+                    1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS
+                )
+                self.histograms[name] = durations
+            durations.record_value(
+                min(MAX_MICROSECONDS, max(1, int(seconds * 1e6)))
+            )
         if self.client is not None:
             self.client.timing(name, seconds * 1000.0)
 
     def gauge(self, name, value):
-        """Send a level."""
+        """Send the current value of a gauge; it is not kept."""
         if self.client is not None:
             self.client.gauge(name, value)
 
     def snapshot(self):
-        """Give a copy of the counters."""
+        """Return a copy of the counters."""
         with self.lock:
             return dict(self.counters)
 
     def text(self):
-        """Give counters and quantiles of durations, a line each.
+        """Return counters and quantiles of durations, one per line.
 
         Examples
         --------
@@ -71,28 +75,28 @@
         """
         with self.lock:
             lines = [
-                f'{PREFIX}_{_flat(name)} {value}'
+                f'{PREFIX}_{_metric_name(name)} {value}'
                 for name, value in sorted(self.counters.items())
             ]
-            for name, known in sorted(self.histograms.items()):
-                lines.extend(_quantiles(name, known))
+            for name, durations in sorted(self.histograms.items()):
+                lines.extend(_quantiles(name, durations))
         return '\n'.join(lines) + '\n'
 
 
-def _flat(name):
+def _metric_name(name):
     return name.replace('.', '_').replace('-', '_')
 
 
-def _quantiles(name, known):
-    flat = f'{PREFIX}_{_flat(name)}_seconds'
-    for each in QUANTILES:
-        value = known.get_value_at_percentile(each) / 1e6
-        yield f'{flat}{{quantile="{each / 100.0:g}"}} {value:.6f}'
-    yield f'{flat}_count {known.get_total_count()}'
+def _quantiles(name, durations):
+    metric = f'{PREFIX}_{_metric_name(name)}_seconds'
+    for percentile in QUANTILES:
+        value = durations.get_value_at_percentile(percentile) / 1e6
+        yield f'{metric}{{quantile="{percentile / 100.0:g}"}} {value:.6f}'
+    yield f'{metric}_count {durations.get_total_count()}'
 
 
 def make_metrics(address=''):
-    """Make metrics that go to a statsd at 'IP:PORT', if one is named."""
+    """Create metrics, sent to a statsd at 'IP:PORT' if one is given."""
     client = None
     if address:
         host, _, port = address.rpartition(':')
--- a/packages/router/ibisring_router/peerkeys.py
+++ b/packages/router/ibisring_router/peerkeys.py
@@ -1,4 +1,4 @@
-"""The keys by which routers know each other."""
+"""Keys by which routers authenticate to each other."""
 
 __all__ = ['peer_keys', 'check_peer']
 
@@ -13,7 +13,7 @@
 
 
 def peer_keys(settings):
-    """Give the keys taken from peers; the first is the one sent.
+    """Return the keys accepted from peers; the first one is also sent.
 
     Parameters
     ----------
@@ -26,12 +26,12 @@
     Notes
     -----
     Without ``--peer-keys`` a key is derived from the hash of the operator
-    key, which every router is given alike.  It is short, since it goes with
-    every probe.
+    key, which is the same on all routers.  It is short because every probe
+    carries it.
     """
-    named = [key for key in settings.peer_keys.split(',') if key]
-    if named:
-        return named
+    configured = [key for key in settings.peer_keys.split(',') if key]
+    if configured:
+        return configured
     secret = settings.operator_key_sha256.encode()
     digest = hmac.digest(secret, b'ibisring peers', hashlib.sha256)
     derived = base64.urlsafe_b64encode(digest[:DERIVED_BYTES])
@@ -39,7 +39,7 @@
 
 
 def check_peer(request, keys):
-    """Admit a request that carries one of some keys.
+    """Accept only requests that carry one of the keys.
 
     Raises
     ------
@@ -47,12 +47,12 @@
 
     Notes
     -----
-    A vote, a release or a pushed change from anybody else could have an
-    alert sent twice or not at all, or put a record in force that no
-    operator submitted; it would show as a router at a revision that the
-    table service does not hold.
+    A forged vote, release or pushed change could cause an alert to be sent
+    twice or not at all, or activate a record that no operator submitted;
+    the router would then be at a revision that the table service doesn't
+    have.
     """
-    given = routes.bearer_key(request).encode()
-    known = [hmac.compare_digest(given, key.encode()) for key in keys]
-    if not any(known):
-        raise exceptions.Unauthorized('this is no key of a peer')
+    received = routes.bearer_key(request).encode()
+    matches = [hmac.compare_digest(received, key.encode()) for key in keys]
+    if not any(matches):
+        raise exceptions.Unauthorized('not a peer key')
--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -1,4 +1,4 @@
-"""Putting a router together, starting it, and shutting it down."""
+"""Construction, start and shutdown of a router."""
 
 __all__ = ['Router', 'make_router']
 
@@ -36,15 +36,15 @@
 from ibisring_web import serving
 
 LOG = logging.getLogger(__name__)
-TICK_SECONDS = 0.05
-BURN_SECONDS = 60.0
-SWEEP_SECONDS = 60.0
-MERGE_SECONDS = 60.0
-SWEEPING_SHARE = 0
-STORE_TIMEOUT = 3.0
-CLAIM_TIMEOUT = 0.4
-PEER_TIMEOUT = 0.6
-STATUS_TIMEOUT = 0.5
+TICK_INTERVAL_SECONDS = 0.05
+BURN_SAVE_INTERVAL_SECONDS = 60.0
+CLAIM_SWEEP_INTERVAL_SECONDS = 60.0
+BURN_MERGE_INTERVAL_SECONDS = 60.0
+SWEEP_LEASE = 0
+STORE_TIMEOUT_SECONDS = 3.0
+CLAIM_TIMEOUT_SECONDS = 0.4
+PEER_TIMEOUT_SECONDS = 0.6
+STATUS_TIMEOUT_SECONDS = 0.5
 
 
 class Router:
@@ -53,7 +53,7 @@
     Parameters
     ----------
     settings : settings.Settings
-        Checked.
+        Validated settings.
     """
 
     def __init__(self, settings):
@@ -61,11 +61,13 @@
         self.metrics = metrics.make_metrics(settings.statsd)
         self.traffic = calls.Traffic()
         self.store_budget = storebudget.make_shared_budget(
-            settings, self._routers, self.metrics
+            settings, self._router_count, self.metrics
         )
-        self.table = self._budgeted(STORE_TIMEOUT, budgets.Urgency.FOREGROUND)
-        self.upkeep_table = self._budgeted(
-            STORE_TIMEOUT, budgets.Urgency.BACKGROUND
+        self.table = self._budgeted_table(
+            STORE_TIMEOUT_SECONDS, budgets.Urgency.FOREGROUND
+        )
+        self.background_table = self._budgeted_table(
+            STORE_TIMEOUT_SECONDS, budgets.Urgency.BACKGROUND
         )
         self.keeper = recordkeeping.start_records(self.table, self.metrics)
         self.placement = dispatching.start_dispatcher(settings.router_id)
@@ -84,7 +86,7 @@
             settings.router_id,
             self.keeper,
             self.placement,
-            self._control_caller(STATUS_TIMEOUT),
+            self._control_caller(STATUS_TIMEOUT_SECONDS),
         )
         self.reconciler = self._make_reconciler()
         self.poller.ordered_by_us = self.reconciler.orders_endpoint
@@ -92,15 +94,15 @@
         self.control = self._make_control_listener()
         self.periodics = []
 
-    def _budgeted(self, timeout, urgency):
-        """Make a table client that keeps to this router's budget."""
+    def _budgeted_table(self, timeout, urgency):
+        """Create a table client that observes this router's budget."""
         table = tables.http_table(
             self.settings.platform, self._control_caller(timeout)
         )
         return storebudget.BudgetedTable(table, self.store_budget, urgency)
 
-    def _routers(self):
-        """Give how many routers the VM list names, 0 if never read."""
+    def _router_count(self):
+        """Return the number of routers on the VM list, 0 before it is read."""
         return self.peering.listed_routers
 
     def _make_peering(self):
@@ -109,19 +111,23 @@
             self.settings,
             self.keeper,
             self.placement,
-            vms.http_vms(platform, self._control_caller(STORE_TIMEOUT)),
+            vms.http_vms(
+                platform, self._control_caller(STORE_TIMEOUT_SECONDS)
+            ),
             self.readiness,
             self.metrics,
             self._peer_caller(),
         )
 
     def _make_claims(self):
-        """Make the claims; their table client gives up sooner."""
+        """Create the claims, with a shorter timeout of the table client."""
         return claiming.make_claims(
             self.settings,
-            self._budgeted(CLAIM_TIMEOUT, budgets.Urgency.FOREGROUND),
-            self.upkeep_table,
-            self._voters,
+            self._budgeted_table(
+                CLAIM_TIMEOUT_SECONDS, budgets.Urgency.FOREGROUND
+            ),
+            self.background_table,
+            self._voter_addresses,
             self._peer_caller(),
         )
 
@@ -140,26 +146,26 @@
     def _make_reconciler(self):
         return reconciling.make_reconciler(
             self.settings,
-            self.upkeep_table,
+            self.background_table,
             self.table,
             self.keeper,
             self.poller,
-            self._answering,
+            self._serving_routers,
             self.metrics,
             self._control_caller(orders.ORDER_TIMEOUT_SECONDS / 2),
         )
 
     def _control_caller(self, read_timeout):
-        """Make a caller whose bytes count as control traffic."""
+        """Create an HTTP client whose bytes count as control traffic."""
         return calls.make_caller(
             self.settings.connect_timeout, read_timeout, self.traffic
         )
 
     def _peer_caller(self):
-        """Make a caller that peers admit."""
+        """Create an HTTP client that sends the peer key."""
         return calls.make_caller(
             self.settings.connect_timeout,
-            PEER_TIMEOUT,
+            PEER_TIMEOUT_SECONDS,
             self.traffic,
             peerkeys.peer_keys(self.settings)[0],
         )
@@ -189,7 +195,7 @@
             self.metrics,
             self.readiness,
         )
-        return _listen(
+        return _create_listener(
             callerapi.make_app(api),
             settings.caller_listen,
             settings.caller_threads,
@@ -207,33 +213,33 @@
             self.metrics,
             self.traffic,
         )
-        return _listen(
+        return _create_listener(
             controlapi.make_app(api),
             self.settings.control_listen,
             self.settings.control_threads,
         )
 
-    def _voters(self):
-        """Give the addresses of all members by id, or None if unknown."""
+    def _voter_addresses(self):
+        """Return the addresses of all members by id, or None if unknown."""
         members = self.peering.read(lambda known: known.addresses())
         if members is None:
             return None
         members[self.settings.router_id] = self.settings.advertise
         return members
 
-    def _answering(self):
-        """Give the ids of the routers that answer, this one included."""
+    def _serving_routers(self):
+        """Return the ids of routers that respond and serve, with this one."""
         alive = [p.id for p in self.peering.alive() if not p.leaving]
         return [*alive, self.settings.router_id]
 
     def start(self):
-        """Start listening, following and probing.
+        """Start the listeners and the periodic tasks.
 
         Raises
         ------
         InvalidSetting
-            An address can't be bound.  Nothing is left running: a listener's
-            threads would keep a refused process from ending.
+            An address can't be bound.  Everything is stopped first, since
+            threads of a listener would keep the process from exiting.
         """
         try:
             self._start()
@@ -243,26 +249,30 @@
         return self
 
     def _start(self):
-        _open(self.control, 'control_listen', self.settings.control_listen)
+        _start_listener(
+            self.control, 'control_listen', self.settings.control_listen
+        )
         if not self.settings.advertise:
             self.settings.advertise = self.control.address
         self.peering.refresh_list()
         self._follow()
         self.peering.probe()
         self.poller.poll()
-        _open(self.callers, 'caller_listen', self.settings.caller_listen)
+        _start_listener(
+            self.callers, 'caller_listen', self.settings.caller_listen
+        )
         settings = self.settings
         for seconds, function in (
-            (TICK_SECONDS, self.placement.tick),
+            (TICK_INTERVAL_SECONDS, self.placement.tick),
             (settings.poll_seconds, self._follow),
             (settings.poll_seconds, self.peering.refresh_list_in_turn),
             (settings.probe_seconds, self.peering.probe),
             (settings.status_seconds, self.poller.poll),
             (settings.poll_seconds, self.claims.keep_unkept),
             (settings.lease_seconds / 6, self.reconciler.round),
-            (BURN_SECONDS, self.burn.save),
-            (SWEEP_SECONDS, self._sweep_claims),
-            (MERGE_SECONDS, self._merge_burn),
+            (BURN_SAVE_INTERVAL_SECONDS, self.burn.save),
+            (CLAIM_SWEEP_INTERVAL_SECONDS, self._sweep_claims),
+            (BURN_MERGE_INTERVAL_SECONDS, self._merge_burn),
         ):
             self.periodics.append(periodic.start(seconds, function))
         logs.event(
@@ -281,8 +291,8 @@
             self.metrics.count('records.follow_failed')
 
     def _sweep_claims(self):
-        """Delete old claim rows; one router of the fleet does it."""
-        if not self.reconciler.holds(SWEEPING_SHARE):
+        """Delete old claim rows if this router holds the lease for it."""
+        if not self.reconciler.holds(SWEEP_LEASE):
             return
         try:
             self.claims.sweep(time.time())
@@ -290,37 +300,38 @@
             self.metrics.count('claims.sweep_failed')
 
     def _merge_burn(self):
-        """Merge a period's tallies, if the merging of it falls to us.
+        """Merge the tallies of a period if it is assigned to this router.
 
-        The holders of leases take periods by turns: a period's objects are
-        more than one router's control traffic of that time.
+        Periods are distributed over the holders of leases: reading the
+        objects of one period takes more than the control traffic of one
+        router in that time.
         """
         self.burn.merge(
             lambda period: self.reconciler.holds(period % reconciling.SHARES)
         )
 
     def drain(self, sleep=time.sleep):
-        """Leave without cutting a request.
+        """Shut down without interrupting requests.
 
-        Unready at once; what the balancer still sends is taken for a set
-        time; then whatever is in flight is finished.
+        Reports not ready at once, accepts what the balancer still sends for
+        `drain_seconds`, then waits until requests in flight have finished.
         """
         self.readiness.draining = True
         logs.event(LOG, 'router_draining')
         sleep(self.settings.drain_seconds)
         whole = self.gate.wait_until_empty(self.settings.drain_limit)
         logs.event(LOG, 'router_drained', whole=whole)
-        self._hand_over()
+        self._release_leases()
         self.stop()
 
-    def _hand_over(self):
-        """Release the leases, so that others need not wait them out."""
+    def _release_leases(self):
+        """Release the leases so that others needn't wait for their expiry."""
         periodic.stop_all(self.periodics)
         self.reconciler.release()
         self.burn.save()
 
     def stop(self):
-        """Stop at once."""
+        """Stop immediately."""
         periodic.stop_all(self.periodics)
         serving.stop_all([self.callers, self.control])
         self.reconciler.stop()
@@ -331,7 +342,7 @@
         self.keeper.stop()
 
 
-def _open(listener, name, address):
+def _start_listener(listener, name, address):
     """Start a listener.
 
     Raises
@@ -342,16 +353,16 @@
     try:
         listener.start()
     except OSError as error:
-        raise settings_module.refusal(
-            name, address, f'an address that is free here ({error})'
+        raise settings_module.invalid_setting(
+            name, address, f'an address that can be bound on this VM ({error})'
         ) from error
 
 
-def _listen(app, address, threads):
+def _create_listener(app, address, threads):
     host, _, port = address.rpartition(':')
     return serving.make_listener(app, host, int(port), threads)
 
 
 def make_router(settings):
-    """Make a router from checked settings."""
+    """Create a router from validated settings."""
     return Router(settings)
--- a/packages/router/ibisring_router/requests.py
+++ b/packages/router/ibisring_router/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests: the shapes they send and what is understood by them."""
+"""Callers' requests: formats of bodies, headers, and their checks."""
 
 __all__ = [
     'CompletionRequest',
@@ -24,13 +24,13 @@
 KEY_HEADER = 'Idempotency-Key'
 DEFAULT_DEADLINE_MS = 60_000
 DEFAULT_MAX_TOKENS = 256
-MOST_MAX_TOKENS = 100_000
-MOST_KEY_CHARACTERS = 200
-_TRUTHS = {'true': True, 'false': False}
+MAX_TOKENS_LIMIT = 100_000
+MAX_KEY_CHARACTERS = 200
+_BOOLEANS = {'true': True, 'false': False}
 
 
 class _Sampling(msgspec.Struct):
-    """Fields common to both completion shapes; others are ignored."""
+    """Fields common to both kinds of completion; others are ignored."""
 
     model: str
     max_tokens: int | None = None
@@ -60,7 +60,7 @@
 
 
 class Terms(msgspec.Struct):
-    """On what terms a request is to be served; `deadline` in clock time."""
+    """Conditions for serving a request; `deadline` is in clock time."""
 
     account: str
     priority: str
@@ -72,12 +72,12 @@
 
 
 def new_request_id():
-    """Give an id that no other router gives."""
+    """Return an id that is unique over all routers."""
     return uuid.uuid4().hex
 
 
 def chat_prompt(messages):
-    """Flatten chat messages into the prompt that engines take.
+    """Join chat messages into the prompt for the engine.
 
     Examples
     --------
@@ -89,7 +89,7 @@
 
 
 def check_supported(body):
-    """Refuse options that would change the answer and aren't served.
+    """Reject unsupported options that would change the response.
 
     Parameters
     ----------
@@ -98,7 +98,7 @@
     Returns
     -------
     int
-        The most tokens to generate.
+        Maximum number of tokens to generate.
 
     Raises
     ------
@@ -109,18 +109,18 @@
     for name in ('logprobs', 'tools', 'stop'):
         if getattr(body, name):
             raise exceptions.InvalidRequest(f'{name} is not supported')
-    wanted = body.max_completion_tokens or body.max_tokens
-    if wanted is None:
+    max_tokens = body.max_completion_tokens or body.max_tokens
+    if max_tokens is None:
         return DEFAULT_MAX_TOKENS
-    if not 1 <= wanted <= MOST_MAX_TOKENS:
+    if not 1 <= max_tokens <= MAX_TOKENS_LIMIT:
         raise exceptions.InvalidRequest(
-            f'max_tokens must be from 1 to {MOST_MAX_TOKENS}'
+            f'max_tokens must be from 1 to {MAX_TOKENS_LIMIT}'
         )
-    return wanted
+    return max_tokens
 
 
 def check_context(prompt, max_tokens, model):
-    """Refuse what can't fit the model's context, counting words as tokens.
+    """Reject prompts too long for the context, counting words as tokens.
 
     Parameters
     ----------
@@ -135,7 +135,7 @@
     needed = len(prompt.split()) + max_tokens
     if needed > model.context_tokens:
         raise exceptions.InvalidRequest(
-            f'prompt and max_tokens need {needed} tokens of context, the '
+            f'prompt and max_tokens need {needed} tokens of context, but the '
             f'model has {model.context_tokens}'
         )
 
@@ -146,7 +146,7 @@
         return default
     if not text.isdigit() or int(text) < 1:
         raise exceptions.InvalidRequest(
-            f'{DEADLINE_HEADER} must be whole milliseconds above 0'
+            f'{DEADLINE_HEADER} must be an integer above 0 (milliseconds)'
         )
     return int(text)
 
@@ -155,11 +155,11 @@
     text = headers.get(IDEMPOTENT_HEADER)
     if text is None:
         return not is_service
-    if text.lower() not in _TRUTHS:
+    if text.lower() not in _BOOLEANS:
         raise exceptions.InvalidRequest(
             f'{IDEMPOTENT_HEADER} must be true or false'
         )
-    return _TRUTHS[text.lower()]
+    return _BOOLEANS[text.lower()]
 
 
 def read_terms(headers, configuration, account, is_service, now):
@@ -171,8 +171,8 @@
     configuration : configuration.Configuration
     account : str
     is_service : bool
-        A call of a service is taken as not idempotent unless it says so, a
-        request to a model as idempotent.
+        By default service calls are not idempotent and requests to models
+        are.
     now : float
 
     Returns
@@ -195,9 +195,9 @@
         rank, deadline_ms = spec.rank, spec.deadline_ms
     deadline_ms = _read_deadline_ms(headers, deadline_ms)
     key = headers.get(KEY_HEADER, '')
-    if len(key) > MOST_KEY_CHARACTERS:
+    if len(key) > MAX_KEY_CHARACTERS:
         raise exceptions.InvalidRequest(
-            f'{KEY_HEADER} is over {MOST_KEY_CHARACTERS} characters'
+            f'{KEY_HEADER} is longer than {MAX_KEY_CHARACTERS} characters'
         )
     return Terms(
         account=account,
--- a/packages/router/ibisring_router/settings.py
+++ b/packages/router/ibisring_router/settings.py
@@ -1,6 +1,6 @@
-"""Settings of a router, checked before anything starts."""
+"""Settings of a router, validated before anything starts."""
 
-__all__ = ['Settings', 'check', 'refusal', 'EMBEDDED']
+__all__ = ['Settings', 'check', 'invalid_setting', 'EMBEDDED']
 
 import re
 
@@ -10,13 +10,13 @@
 
 EMBEDDED = 'embedded'
 ADDRESS = re.compile(r'^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$')
-LEAST_RESERVE = 4
-LEAST_PEER_KEY = 16
+MIN_NORMAL_THREADS = 4
+MIN_PEER_KEY_CHARACTERS = 16
 ANY_HOST = '0.0.0.0:'
 
 
 class Settings(msgspec.Struct, kw_only=True):
-    """Everything a router is told at its start; times are in seconds."""
+    """All settings of a router; times are in seconds."""
 
     platform: str = EMBEDDED
     router_id: str = 'router-1'
@@ -49,22 +49,24 @@
 def _check_address(settings, name):
     value = getattr(settings, name)
     if not ADDRESS.match(value):
-        raise refusal(name, value, 'an IP:PORT address such as 0.0.0.0:8080')
+        raise invalid_setting(
+            name, value, 'an IP:PORT address such as 0.0.0.0:8080'
+        )
 
 
 def _check_peer_keys(settings):
     for key in filter(None, settings.peer_keys.split(',')):
-        if len(key) < LEAST_PEER_KEY:
-            raise refusal(
+        if len(key) < MIN_PEER_KEY_CHARACTERS:
+            raise invalid_setting(
                 'peer_keys',
                 '...',
-                f'keys of at least {LEAST_PEER_KEY} characters, with commas '
-                'between them',
+                f'keys of at least {MIN_PEER_KEY_CHARACTERS} characters, '
+                'with commas between them',
             )
 
 
-def refusal(name, value, remedy):
-    """Give the error that refuses a setting, naming flag and variable."""
+def invalid_setting(name, value, remedy):
+    """Return the error for a bad setting, with its flag and variable."""
     flag = '--' + name.replace('_', '-')
     variable = 'IBISRING_' + name.upper()
     return exceptions.InvalidSetting(
@@ -73,7 +75,7 @@
 
 
 def check(settings):
-    """Refuse settings that can't work, naming the flag and the remedy.
+    """Validate settings; errors name the flag and the remedy.
 
     Parameters
     ----------
@@ -94,7 +96,7 @@
             _check_address(settings, name)
     if settings.control_listen.startswith(ANY_HOST):
         if not settings.advertise:
-            raise refusal(
+            raise invalid_setting(
                 'advertise',
                 settings.advertise,
                 'set to the IP:PORT at which peers reach this VM, since '
@@ -105,25 +107,25 @@
     for name in settings.__struct_fields__:
         value = getattr(settings, name)
         if isinstance(value, float) and not value > 0:
-            raise refusal(name, value, 'a number of seconds above 0')
+            raise invalid_setting(name, value, 'a number of seconds above 0')
         if isinstance(value, int) and value < 1:
-            raise refusal(name, value, 'at least 1')
-    most = settings.caller_threads - LEAST_RESERVE
-    if settings.urgent_threads > most:
-        raise refusal(
+            raise invalid_setting(name, value, 'at least 1')
+    max_urgent = settings.caller_threads - MIN_NORMAL_THREADS
+    if settings.urgent_threads > max_urgent:
+        raise invalid_setting(
             'urgent_threads',
             settings.urgent_threads,
-            f'at most {most}, which is --caller-threads less '
-            f'{LEAST_RESERVE}',
+            f'at most {max_urgent}, which is --caller-threads less '
+            f'{MIN_NORMAL_THREADS}',
         )
     _check_peer_keys(settings)
     key = settings.operator_key_sha256
     if key and not re.fullmatch(r'[0-9a-f]{64}', key):
-        raise refusal(
+        raise invalid_setting(
             'operator_key_sha256', key, '64 hexadecimal digits (sha256)'
         )
     if settings.platform != EMBEDDED and not key:
-        raise refusal(
+        raise invalid_setting(
             'operator_key_sha256', key, 'set unless the platform is embedded'
         )
     return settings
