--- a/packages/router/ibisring_router/tests/builders.py
+++ b/packages/router/ibisring_router/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data: sites, routers and requests."""
+"""Builders of test data: sites, routers and requests."""
 
 __all__ = [
     'OPERATOR_KEY',
@@ -41,8 +41,8 @@
 
 
 def router_settings(site, **changes):
-    """Give settings of a router before a site, on free ports."""
-    given = {
+    """Return settings of a router for a site, listening on free ports."""
+    values = {
         'platform': site.platform_address,
         'caller_listen': ANY_PORT,
         'control_listen': ANY_PORT,
@@ -53,16 +53,16 @@
         'token_timeout': 0.5,
         **changes,
     }
-    return settings.check(settings.Settings(**given))
+    return settings.check(settings.Settings(**values))
 
 
 def start_router(site, **changes):
-    """Start a router before a site."""
+    """Start a router for a site."""
     return process.make_router(router_settings(site, **changes)).start()
 
 
 def start_fleet(site, count, **changes):
-    """Start routers that know each other by the VM list."""
+    """Start routers that are all on the VM list."""
     routers = [
         start_router(site, router_id=f'router-{number}', **changes)
         for number in range(count)
@@ -72,7 +72,7 @@
 
 
 def list_vms(site, routers):
-    """Put routers on the VM list, and let each read it."""
+    """Put routers on the VM list and have each of them read it."""
     site.platform.vms.listed = [
         vms.Vm(
             router.settings.router_id,
@@ -87,29 +87,29 @@
 
 
 def service_runs(site):
-    """Give all runs of all plain services."""
+    """Return all runs of all plain services."""
     return [
         run for service in site.services.values() for run in service.ledger
     ]
 
 
 def metrics():
-    """Give metrics that go nowhere."""
+    """Create metrics that aren't sent anywhere."""
     return metrics_module.make_metrics()
 
 
 def held_leases_query():
-    """Give the message that asks a lease actor for its leases."""
+    """Return the message that queries a lease actor for its leases."""
     return reconciling.Held()
 
 
 def peer_state(router_id):
-    """Give a probe's answer."""
+    """Return a response to a probe."""
     return peering.PeerState(router_id, 'i', 1.0, 1, False)
 
 
 def many_endpoints(count):
-    """Give a configuration with so many engines."""
+    """Return a configuration with this number of engines."""
     stored = [
         records.Stored(r.kind, r.name, r.schema, r.spec, 1, 's')
         for r in deployments.cocinas(count, 0).records
@@ -118,9 +118,9 @@
 
 
 def generation(request_id, **changes):
-    """Give a request to the model of the small deployment."""
+    """Return a request to the model of the small deployment."""
     model = 'modelo-cocina'
-    given = {
+    values = {
         'account': 'cocina-1',
         'target': admission.Target(model=model, version=f'{model}@1'),
         'layers': deployments.LAYERS,
@@ -132,7 +132,7 @@
         'max_tokens': 12,
         **changes,
     }
-    return generating.Generation(id=request_id, **given)
+    return generating.Generation(id=request_id, **values)
 
 
 def post(router, path, body, account='cocina-1', **headers):
@@ -142,11 +142,15 @@
     -------
     urllib3.HTTPResponse
     """
-    sent = {name.replace('_', '-'): value for name, value in headers.items()}
-    sent['Authorization'] = f'Bearer {deployments.account_key(account)}'
+    request_headers = {
+        name.replace('_', '-'): value for name, value in headers.items()
+    }
+    request_headers['Authorization'] = (
+        f'Bearer {deployments.account_key(account)}'
+    )
     return HTTP.request(
         'POST',
         f'http://{router.callers.address}{path}',
         json=body,
-        headers=sent,
+        headers=request_headers,
     )
--- a/packages/router/ibisring_router/tests/fakes.py
+++ b/packages/router/ibisring_router/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the runners: engines that drop and cross."""
+"""Fakes for the runners: clock, placement, and engines with faults."""
 
 __all__ = ['Fault', 'FaultyEngines', 'DirectPlacement', 'FakeClock', 'Bench']
 
@@ -21,7 +21,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What happens to the next event on its way to the router."""
+    """Fault of a request, or of the next event on its way to the router."""
 
     DROP = 'drop'
     REPEAT = 'repeat'
@@ -35,7 +35,7 @@
 
 
 class FakeClock:
-    """Time that moves when told to, or by being slept on."""
+    """Time that advances only when set or by `sleep`."""
 
     def __init__(self):
         self.now = 0.0
@@ -48,10 +48,10 @@
 
 
 class DirectPlacement:
-    """Asks the pure dispatcher without an actor between.
+    """Calls the dispatcher directly instead of through its actor.
 
-    A ticket that would have to wait is refused: nothing else runs here
-    that could free an endpoint for it.
+    A ticket that would have to wait is refused, since nothing runs
+    concurrently that could free an endpoint.
     """
 
     def __init__(self, dispatcher, clock):
@@ -74,7 +74,7 @@
 
 
 class Bench:
-    """A real runner and dispatcher on engines in memory.
+    """A real runner and dispatcher with engines in memory.
 
     Parameters
     ----------
@@ -103,7 +103,7 @@
 
 
 class _Attempt:
-    """An attempt at its head: events so far, and what makes more."""
+    """An attempt at its first stage: past events and the source of more."""
 
     def __init__(self, order, transport):
         self.events = []
@@ -111,7 +111,7 @@
         self.source = head.run(order, transport, lambda: self.cancelled)
 
     def event(self, index):
-        """Give an event by index, or None past the end."""
+        """Return an event by index, or None past the end."""
         while len(self.events) <= index:
             event = next(self.source, None)
             if event is None:
@@ -121,32 +121,32 @@
 
 
 class _DirectTransport(head.Transport):
-    def __init__(self, fakes):
-        self.fakes = fakes
+    def __init__(self, channel):
+        self.channel = channel
 
     def _engine(self, stage):
-        if stage.endpoint in self.fakes.dead:
+        if stage.endpoint in self.channel.dead:
             raise head.StageLost(stage.endpoint, 'dead')
-        return self.fakes.engines[stage.endpoint]
+        return self.channel.engines[stage.endpoint]
 
     def begin(self, stage, begin):
-        held = self._engine(stage)
+        stage_engine = self._engine(stage)
         try:
-            return held.begin(begin)
+            return stage_engine.begin(begin)
         except exceptions.PlanInvalid as error:
             raise head.StageLost(stage.endpoint, str(error)) from error
 
     def step(self, stage, step):
-        held = self._engine(stage)
-        self.fakes.clock.sleep(self.fakes.delays.get(stage.endpoint, 0.0))
+        stage_engine = self._engine(stage)
+        self.channel.clock.sleep(self.channel.delays.get(stage.endpoint, 0.0))
         try:
-            return held.step(step)
+            return stage_engine.step(step)
         except exceptions.IbisringError as error:
             raise head.StageLost(stage.endpoint, str(error)) from error
 
 
 class FaultyEngines(engineclient.EngineClient):
-    """Engines in memory behind a channel that misbehaves as told.
+    """Engines in memory behind a channel with injected faults.
 
     Parameters
     ----------
@@ -156,9 +156,9 @@
     Attributes
     ----------
     delays : dict of str to float
-        Seconds that a step takes, by endpoint.
+        Seconds per step, by endpoint.
     faults : collections.deque of Fault or None
-        One for each event to come; None leaves it alone.
+        One for each coming event; None delivers it unchanged.
     applied : collections.Counter
         Faults that took effect.
     """
@@ -180,12 +180,12 @@
         self.applied[fault] += 1
         raise endings.AttemptFailed(failure, str(fault))
 
-    def _check_head(self, order):
+    def _check_first_stage(self, order):
         if order.stages[0].endpoint in self.dead:
             self._fail(retries.Failure.NOT_SENT, 'dead_head')
 
     def generate(self, order, on_load):
-        self._check_head(order)
+        self._check_first_stage(order)
         fault = self.faults[0] if self.faults else None
         if fault is Fault.REFUSE:
             self.faults.popleft()
@@ -199,7 +199,7 @@
         yield from self._follow(order, 0)
 
     def resume(self, order, position):
-        self._check_head(order)
+        self._check_first_stage(order)
         if (order.request, order.attempt) not in self.attempts:
             self._fail(retries.Failure.REFUSED, 'unknown_attempt')
         yield from self._follow(order, position - len(order.delivered))
@@ -213,14 +213,14 @@
     def _follow(self, order, index):
         attempt = self.attempts[order.request, order.attempt]
         while True:
-            self._check_head_alive(order)
+            self._check_first_stage_alive(order)
             event = attempt.event(index)
             if event is None:
                 return
             yield from self._deliver(order, attempt, index, event)
             index += 1
 
-    def _check_head_alive(self, order):
+    def _check_first_stage_alive(self, order):
         if order.stages[0].endpoint in self.dead:
             self._fail(retries.Failure.CUT, 'head_died')
 
@@ -243,14 +243,18 @@
             if following is not None:
                 yield following
         else:
-            yield from self._strangers(order, fault)
+            yield from self._foreign_events(order, fault)
         yield event
 
-    def _strangers(self, order, fault):
-        """Yield events of other requests, or of older attempts."""
+    def _foreign_events(self, order, fault):
+        """Yield events of other requests or of older attempts."""
         for (request, number), attempt in list(self.attempts.items()):
-            same = request == order.request
-            late = fault is Fault.LATE and same and number < order.attempt
-            crossed = fault is Fault.CROSS and not same
-            if late or crossed:
+            is_same_request = request == order.request
+            is_late = (
+                fault is Fault.LATE
+                and is_same_request
+                and number < order.attempt
+            )
+            is_crossed = fault is Fault.CROSS and not is_same_request
+            if is_late or is_crossed:
                 yield from attempt.events
--- a/packages/router/ibisring_router/tests/processes.py
+++ b/packages/router/ibisring_router/tests/processes.py
@@ -1,4 +1,4 @@
-"""Routers as real processes, for tests and benches that send signals."""
+"""Real router processes, for tests and benchmarks that send signals."""
 
 __all__ = ['RouterProcess', 'start', 'stop_all']
 
@@ -21,8 +21,8 @@
 
     Attributes
     ----------
-    lines : list of str
-        What it has written to standard error.
+    log_lines : list of str
+        Lines written to standard error so far.
     """
 
     def __init__(self, site, router_id, **flags):
@@ -46,7 +46,7 @@
             text=True,
             env={**os.environ, 'PYTHONUNBUFFERED': '1'},
         )
-        self.lines = []
+        self.log_lines = []
         self.reader = threading.Thread(target=self._read_log, daemon=True)
         self.reader.start()
         self.callers = self._read_address()
@@ -54,17 +54,17 @@
 
     def _read_log(self):
         for line in self.process.stderr:
-            self.lines.append(line)
+            self.log_lines.append(line)
 
     def _read_address(self):
         line = self.process.stdout.readline()
-        found = _ADDRESS.match(line)
-        if found is None:
-            raise RuntimeError(f'{self.id}: {line!r} {self.lines}')
-        return found.group(2)
+        match = _ADDRESS.match(line)
+        if match is None:
+            raise RuntimeError(f'{self.id}: {line!r} {self.log_lines}')
+        return match.group(2)
 
     def vm(self):
-        """Give its entry for the VM list."""
+        """Return its entry for the VM list."""
         return vms.Vm(self.id, self.control, 'local')
 
     def signal(self, number):
@@ -72,14 +72,14 @@
         self.process.send_signal(number)
 
     def cpu_seconds(self):
-        """Give the processor time it has used."""
+        """Return the CPU time used so far."""
         with open(f'/proc/{self.process.pid}/stat') as file:
             fields = file.read().rpartition(')')[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf('SC_CLK_TCK')
 
     def megabytes(self):
-        """Give its resident memory."""
+        """Return the resident memory."""
         with open(f'/proc/{self.process.pid}/statm') as file:
             pages = int(file.read().split()[1])
         return pages * os.sysconf('SC_PAGE_SIZE') / 1e6
@@ -103,6 +103,6 @@
 
 
 def stop_all(routers):
-    """Kill what is left of some router processes."""
+    """Kill the router processes that still run."""
     for router in routers:
         router.kill()
--- a/packages/router/ibisring_router/tests/test_failures.py
+++ b/packages/router/ibisring_router/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""What fails, over real connections: engines, services and callers."""
+"""Failures of engines, services and callers over real connections."""
 
 import concurrent.futures
 import socket
@@ -28,24 +28,24 @@
 @pytest.fixture
 def router(site, shared_router):
     yield shared_router
-    mend(site)
-    shared_router.placement.inspect(forgive)
+    clear_faults(site)
+    shared_router.placement.inspect(reset_ejections)
 
 
 @pytest.fixture
-def patient_router(site):
-    """Give a router that takes no engine for silent because tests are slow.
+def router_with_long_timeout(site):
+    """Return a router whose token timeout doesn't fire on a slow machine.
 
-    Stalls of the test's own process look like silence after half a second,
-    and use up the attempts of a request that has one true fault to survive.
+    With half a second, stalls of the test process look like a silent engine
+    and use up the attempts that a request needs for the injected fault.
     """
     router = builders.start_router(site, token_timeout=10.0)
     yield router
     router.stop()
-    mend(site)
+    clear_faults(site)
 
 
-def mend(site):
+def clear_faults(site):
     for server in site.engines.values():
         server.engine.faults = faults.EngineFaults()
     for service in site.services.values():
@@ -53,133 +53,137 @@
         service.ledger.clear()
 
 
-def forgive(dispatcher):
+def reset_ejections(dispatcher):
     for state in dispatcher.states.values():
         state.failures = state.ejections = 0
         state.ejected_until = 0.0
 
 
-def break_engines(site, **switches):
+def set_engine_faults(site, **fault_settings):
     for server in site.engines.values():
-        server.engine.faults = faults.EngineFaults(**switches)
+        server.engine.faults = faults.EngineFaults(**fault_settings)
 
 
-def complete(router, **headers):
+def post_completion(router, **headers):
     body = {'model': MODEL, 'prompt': PROMPT, 'max_tokens': TOKENS}
     return builders.post(router, '/v1/completions', body, **headers)
 
 
-def right_answer():
+def expected_text():
     tokens = engine.expected_tokens(PROMPT, deployments.LAYERS, TOKENS)
     return ''.join(tokens)
 
 
 @pytest.mark.parametrize('position', [0, 5, TOKENS - 1])
-def test_stage_death_at_any_token_is_not_seen(site, patient_router, position):
-    """Symptom: an allergen sheet broke off in the middle.
+def test_stage_death_at_any_token_is_hidden_from_the_caller(
+    site, router_with_long_timeout, position
+):
+    """Failure: a response breaks off when a stage of its chain crashes.
 
-    Sequence: a stage of the chain dies while the answer streams.
-    Cause: the answer depended on one chain from its start to its end.
+    The response must not depend on one chain from start to end.
     """
-    victim = next(iter(site.engines.values()))
-    victim.engine.faults = faults.EngineFaults(die_at=position, dies=99)
+    faulty_server = next(iter(site.engines.values()))
+    faulty_server.engine.faults = faults.EngineFaults(die_at=position, dies=99)
     for _ in range(4):
-        body = complete(patient_router).json()
+        body = post_completion(router_with_long_timeout).json()
         assert 'choices' in body, body
-        assert body['choices'][0]['text'] == right_answer()
+        assert body['choices'][0]['text'] == expected_text()
 
 
 def test_silent_connection_is_resumed_on_a_new_one(site, router):
-    """Symptom: an answer stands still for ever.
+    """Failure: a response stalls for ever.
 
-    Sequence: something between router and engine loses track of an open
-    connection; new connections work.
-    Cause: nothing arrives on the old one, not even its end.
+    Something between router and engine loses the state of an open
+    connection: nothing arrives on it any more, not even its close, while
+    new connections work.
     """
-    break_engines(site, silence_at=4)
-    answer = complete(router)
-    assert answer.json()['choices'][0]['text'] == right_answer()
-
-
-def test_silent_connection_does_not_rerun_what_may_not_repeat(site, router):
-    break_engines(site, silence_at=4)
-    before = {run.request for run in all_runs(site)}
-    answer = complete(router, Ibisring_Idempotent='false')
-    assert answer.json()['choices'][0]['text'] == right_answer()
+    set_engine_faults(site, silence_at=4)
+    response = post_completion(router)
+    assert response.json()['choices'][0]['text'] == expected_text()
+
+
+def test_silent_connection_does_not_rerun_a_non_idempotent_request(
+    site, router
+):
+    set_engine_faults(site, silence_at=4)
+    before = {run.request for run in engine_runs(site)}
+    response = post_completion(router, Ibisring_Idempotent='false')
+    assert response.json()['choices'][0]['text'] == expected_text()
     attempts = {
         (run.request, run.attempt)
-        for run in all_runs(site)
+        for run in engine_runs(site)
         if run.request not in before
     }
     assert len(attempts) == 1
 
 
-def all_runs(site):
+def engine_runs(site):
     return [
         run for server in site.engines.values() for run in server.engine.ledger
     ]
 
 
-def test_half_an_event_and_a_close_is_not_taken_for_a_token(site, router):
-    """Symptom: a sheet ends in half a word, or in a wrong one.
+def test_partial_event_before_a_close_is_not_a_token(site, router):
+    """Failure: a response ends in part of a token, or in a wrong one.
 
-    Sequence: an engine closes in the middle of an event.
-    Cause: what was read so far was taken for a whole event.
+    An engine closes the connection in the middle of an event; the part
+    that was read must not count as a complete event.
     """
-    break_engines(site, cut_at=6)
-    answer = complete(router)
-    assert answer.json()['choices'][0]['text'] == right_answer()
+    set_engine_faults(site, cut_at=6)
+    response = post_completion(router)
+    assert response.json()['choices'][0]['text'] == expected_text()
 
 
-def test_doubled_events_are_delivered_once(site, router):
-    break_engines(site, repeat_events=True)
-    answer = complete(router)
-    assert answer.json()['choices'][0]['text'] == right_answer()
+def test_duplicate_events_are_delivered_once(site, router):
+    set_engine_faults(site, repeat_events=True)
+    response = post_completion(router)
+    assert response.json()['choices'][0]['text'] == expected_text()
 
 
 def test_all_streams_going_silent_at_once_are_resumed(site, router):
-    """Symptom: sheets break off for most callers of a router at a time.
+    """Failure: most responses of a router break off at the same time.
 
-    Sequence: something between router and engines forgets all open
-    connections while many answers stream.
-    Cause: resumptions were charged to the retry budget, which was soon
-    spent, though they run nothing anew.
+    Something between router and engines drops all open connections while
+    many responses stream.  Resumptions must not count against the retry
+    budget, which would soon be used up: they repeat no work.
     """
-    break_engines(site, silence_at=4, silences=STREAMS)
+    set_engine_faults(site, silence_at=4, silences=STREAMS)
     with concurrent.futures.ThreadPoolExecutor(STREAMS) as pool:
-        asked = [pool.submit(complete, router) for _ in range(STREAMS)]
-        answers = [future.result().json() for future in asked]
-    texts = [answer['choices'][0]['text'] for answer in answers]
-    assert texts == [right_answer()] * STREAMS
+        futures = [
+            pool.submit(post_completion, router) for _ in range(STREAMS)
+        ]
+        responses = [future.result().json() for future in futures]
+    texts = [response['choices'][0]['text'] for response in responses]
+    assert texts == [expected_text()] * STREAMS
 
 
-def test_engine_that_accepts_and_never_answers(site, router):
-    """Symptom: requests hang although other engines are free.
+def test_engine_that_accepts_but_never_responds_is_skipped(site, router):
+    """Failure: requests hang although other engines are free.
 
-    Sequence: an engine accepts connections and says nothing.
-    Cause: no limit on the silence before the first token.
+    An engine accepts connections but sends nothing; the wait for the first
+    token needs a timeout too.
     """
-    victim = next(iter(site.engines.values()))
-    victim.engine.faults = faults.EngineFaults(never_answer=True)
+    faulty_server = next(iter(site.engines.values()))
+    faulty_server.engine.faults = faults.EngineFaults(never_answer=True)
     for _ in range(3):
-        answer = complete(router)
-        assert answer.json()['choices'][0]['text'] == right_answer()
+        response = post_completion(router)
+        assert response.json()['choices'][0]['text'] == expected_text()
 
 
-def test_all_refuse_and_it_is_not_run(site, router):
-    break_engines(site, refuse=True)
-    error = complete(router).json()['error']
+def test_outcome_is_not_run_if_all_engines_refuse(site, router):
+    set_engine_faults(site, refuse=True)
+    error = post_completion(router).json()['error']
     assert error['outcome'] == 'not_run'
     request_id = error['facts']['request_id']
     assert request_id
-    assert request_id not in {run.request for run in all_runs(site)}
+    assert request_id not in {run.request for run in engine_runs(site)}
 
 
-def test_cut_answer_is_never_presented_as_whole(site, router):
-    """Symptom: a printed sheet lacks its last lines, and nobody knew.
+def test_truncated_response_is_never_reported_as_complete(site, router):
+    """Failure: a response lacks its last lines and the caller can't tell.
 
-    Sequence: a request that may not repeat is cut and can't be resumed.
-    Cause: the stream's end looked like the answer's end.
+    A non-idempotent request is cut off and can't be resumed; the end of
+    the stream must not look like the end of the response.
     """
     for server in site.engines.values():
         if server.engine.status.first_layer > 0:
@@ -190,17 +194,17 @@
         'max_tokens': TOKENS,
         'stream': True,
     }
-    answer = builders.post(
+    response = builders.post(
         router, '/v1/completions', body, Ibisring_Idempotent='false'
     )
-    text = answer.data.decode()
+    text = response.data.decode()
     assert '[DONE]' not in text
     assert '"outcome":"unknown"' in text
     assert '"finish_reason":"length"' not in text
 
 
 @pytest.mark.parametrize(
-    ('switches', 'outcome'),
+    ('fault_settings', 'outcome'),
     [
         ({'lose_answers': 99}, 'unknown'),
         ({'hang': True}, 'unknown'),
@@ -208,37 +212,39 @@
         ({'refuse': True}, 'not_run'),
     ],
 )
-def test_service_outcomes_are_truthful(site, router, switches, outcome):
-    """Symptom: an alert is sent twice, or is believed lost and was not.
+def test_service_outcomes_match_what_ran(
+    site, router, fault_settings, outcome
+):
+    """Failure: an alert is sent twice, or is reported lost though it ran.
 
-    Sequence: a service loses its answer, hangs, fails or refuses.
-    Cause: all four looked the same, and were repeated the same way.
+    A service loses its response, hangs, fails or refuses; the outcomes
+    must be distinguished, since they allow different retries.
     """
     for service in site.services.values():
-        service.faults = faults.ServiceFaults(**switches)
-    answer = builders.post(router, SERVICE, {'lote': 1})
-    assert answer.json()['error']['outcome'] == outcome
+        service.faults = faults.ServiceFaults(**fault_settings)
+    response = builders.post(router, SERVICE, {'lote': 1})
+    assert response.json()['error']['outcome'] == outcome
     expected_runs = 0 if outcome == 'not_run' else 1
     assert len(builders.service_runs(site)) == expected_runs
 
 
-def test_idempotent_call_is_repeated_elsewhere(site, router):
+def test_idempotent_call_is_retried_at_another_endpoint(site, router):
     first = next(iter(site.services.values()))
     first.faults = faults.ServiceFaults(lose_answers=99)
     for _ in range(6):
-        answer = builders.post(
+        response = builders.post(
             router, SERVICE, {'lote': 2}, Ibisring_Idempotent='true'
         )
-        assert answer.status == 200
+        assert response.status == 200
 
 
-def test_caller_that_leaves_frees_the_engines(site, router):
-    """Symptom: engines are full of work that nobody waits for.
+def test_closed_caller_connection_frees_the_engines(site, router):
+    """Failure: engines are busy with requests that nobody waits for.
 
-    Sequence: a caller closes its connection in mid-stream.
-    Cause: the router went on reading for it.
+    A caller closes its connection while the response streams; the router
+    must cancel the request rather than read on.
     """
-    break_engines(site, step_delay=0.02)
+    set_engine_faults(site, step_delay=0.02)
     host, port = router.callers.address.split(':')
     body = (
         b'{"model":"modelo-cocina","prompt":"x","max_tokens":5000,'
@@ -261,20 +267,20 @@
     assert running == 0
 
 
-def test_full_pool_of_bulletins_does_not_delay_an_alert(site, router):
-    """Symptom: a label or alert waits behind bulletins.
+def test_urgent_request_is_served_while_normal_threads_are_full(site, router):
+    """Failure: a label or alert waits behind bulletins.
 
-    Sequence: slow streams take every thread that serves callers.
-    Cause: one pool for all, with no place kept for urgent requests.
+    Slow streams occupy all threads for callers; some threads have to be
+    reserved for urgent requests.
     """
-    places = router.gate.threads - router.gate.urgent
-    for _ in range(places):
+    normal_threads = router.gate.threads - router.gate.urgent
+    for _ in range(normal_threads):
         router.gate.enter(is_urgent=False)
     try:
-        refused = complete(router)
+        refused = post_completion(router)
         urgent = builders.post(router, SERVICE, {'lote': 3})
     finally:
-        for _ in range(places):
+        for _ in range(normal_threads):
             router.gate.leave()
     assert refused.json()['error']['code'] == 'overloaded'
     assert refused.json()['error']['outcome'] == 'not_run'
@@ -283,23 +289,22 @@
 
 
 def test_burst_of_new_connections_is_not_reset(router):
-    """Symptom: connections reset when a shift begins.
+    """Failure: connections are reset when a shift begins.
 
-    Sequence: a hundred callers connect at once.
-    Cause: the listen queue held five.
+    A hundred callers connect at a time; the listen queue had 5 places.
     """
     barrier = threading.Barrier(100)
-    answered = []
+    statuses = []
 
     def call():
         barrier.wait()
         url = f'http://{router.callers.address}/healthz'
         response = builders.HTTP.request('GET', url)
-        answered.append(response.status)
+        statuses.append(response.status)
 
     threads = [threading.Thread(target=call) for _ in range(100)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert answered == [200] * 100
+    assert statuses == [200] * 100
--- a/packages/router/ibisring_router/tests/test_golden.py
+++ b/packages/router/ibisring_router/tests/test_golden.py
@@ -1,9 +1,9 @@
-"""Golden files of whole sessions, for both deployments.
+"""Golden files of complete sessions, for both deployments.
 
-Each file holds what callers sent and got, in order, and how often each
-endpoint kind ran.  Ids and times are replaced by fixed words.  After a
-wanted change: ``IBISRING_UPDATE_GOLDEN=1 pytest -k golden``, then read the
-difference.
+Each file holds the requests and responses in order, and the number of service
+runs.  Ids, times and addresses are replaced by placeholders.  After an
+intended change run ``IBISRING_UPDATE_GOLDEN=1 pytest -k golden`` and review
+the diff.
 """
 
 import json
@@ -17,9 +17,9 @@
 from ibisring_standins import deployments
 from ibisring_standins import faults
 
-FOLDER = pathlib.Path(__file__).parent / 'golden'
+GOLDEN_FOLDER = pathlib.Path(__file__).parent / 'golden'
 UPDATE = 'IBISRING_UPDATE_GOLDEN' in os.environ
-KEPT_HEADERS = ('Ibisring-Outcome', 'Retry-After', 'x-should-retry')
+RECORDED_HEADERS = ('Ibisring-Outcome', 'Retry-After', 'x-should-retry')
 COCINAS = (deployments.cocinas, 'impresoras-etiquetas', 'oficina-calidad')
 MORALES = (deployments.morales, 'avisos-campo', 'boletines')
 
@@ -43,7 +43,7 @@
             'status': answer.status,
             'headers': {
                 name: answer.headers[name]
-                for name in KEPT_HEADERS
+                for name in RECORDED_HEADERS
                 if name in answer.headers
             },
             'body': normalize(answer.data.decode()).split('\n'),
@@ -51,13 +51,13 @@
     }
 
 
-def lookup(router, accounts):
+def send_lookup(router, accounts):
     body = {'lote': 'L-2207', 'producto': 'lentejas'}
     path = '/v1/services/etiquetado'
     return [exchange(router, accounts[0], path, body)]
 
 
-def alert(router, accounts):
+def send_alert(router, accounts):
     body = {'zona': 'finca El Paraiso', 'aviso': 'rayos a 8 km'}
     path = '/v1/services/avisador'
     headers = {'Idempotency-Key': 'aviso-31', 'Ibisring-Priority': 'alerta'}
@@ -66,7 +66,7 @@
     ]
 
 
-def card(router, accounts):
+def send_card(router, accounts):
     body = {
         'model': 'modelo-cocina',
         'prompt': 'ficha de receta: sopa de ajo',
@@ -80,7 +80,7 @@
     ]
 
 
-def bulletin(router, accounts):
+def send_bulletin(router, accounts):
     body = {
         'model': 'redactor',
         'messages': [{'role': 'user', 'content': 'boletin de tormenta'}],
@@ -90,42 +90,42 @@
     return [exchange(router, accounts[1], path, body)]
 
 
-def lose_answer(site):
+def lose_service_response(site):
     for service in site.services.values():
         service.faults = faults.ServiceFaults(lose_answers=1)
 
 
-def refuse_once(site):
+def refuse_requests(site):
     for service in site.services.values():
         service.faults = faults.ServiceFaults(refuse=True)
 
 
-def kill_stage(site):
+def crash_stage(site):
     for server in site.engines.values():
         if server.engine.status.first_layer == 8:
             server.engine.faults = faults.EngineFaults(die_at=3)
             return
 
 
-def go_silent(site):
+def silence_engines(site):
     for server in site.engines.values():
         server.engine.faults = faults.EngineFaults(silence_at=2)
 
 
 def no_fault(site):
-    """Leave everything whole."""
+    """Inject no fault."""
 
 
 SESSIONS = [
-    ('lookup', COCINAS, lookup, no_fault),
-    ('lookup-refused', COCINAS, lookup, refuse_once),
-    ('lookup-answer-lost', COCINAS, lookup, lose_answer),
-    ('card', COCINAS, card, no_fault),
-    ('card-silent-connection', COCINAS, card, go_silent),
-    ('alert', MORALES, alert, no_fault),
-    ('alert-answer-lost', MORALES, alert, lose_answer),
-    ('bulletin', MORALES, bulletin, no_fault),
-    ('bulletin-stage-death', MORALES, bulletin, kill_stage),
+    ('lookup', COCINAS, send_lookup, no_fault),
+    ('lookup-refused', COCINAS, send_lookup, refuse_requests),
+    ('lookup-answer-lost', COCINAS, send_lookup, lose_service_response),
+    ('card', COCINAS, send_card, no_fault),
+    ('card-silent-connection', COCINAS, send_card, silence_engines),
+    ('alert', MORALES, send_alert, no_fault),
+    ('alert-answer-lost', MORALES, send_alert, lose_service_response),
+    ('bulletin', MORALES, send_bulletin, no_fault),
+    ('bulletin-stage-death', MORALES, send_bulletin, crash_stage),
 ]
 
 
@@ -135,21 +135,21 @@
     ids=[each[0] for each in SESSIONS],
 )
 def test_golden_session(name, deployment, session, fault):
-    make, *accounts = deployment
-    site = builders.small_site(make, engines=6, services=1)
+    make_deployment, *accounts = deployment
+    site = builders.small_site(make_deployment, engines=6, services=1)
     routers = builders.start_fleet(site, 1)
     fault(site)
     try:
         exchanges = session(routers[0], accounts)
-        seen = {
+        actual = {
             'exchanges': exchanges,
             'service_runs': len(builders.service_runs(site)),
         }
     finally:
         routers[0].stop()
         site.stop()
-    file = FOLDER / f'{name}.json'
+    file = GOLDEN_FOLDER / f'{name}.json'
     if UPDATE:
-        FOLDER.mkdir(exist_ok=True)
-        file.write_text(json.dumps(seen, indent=1) + '\n')
-    assert seen == json.loads(file.read_text())
+        GOLDEN_FOLDER.mkdir(exist_ok=True)
+        file.write_text(json.dumps(actual, indent=1) + '\n')
+    assert actual == json.loads(file.read_text())
--- a/packages/router/ibisring_router/tests/test_path.py
+++ b/packages/router/ibisring_router/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: stock client, router, engines and services."""
+"""End-to-end tests: OpenAI client, router, engines and services."""
 
 import openai
 import pytest
@@ -29,7 +29,7 @@
     assert [model.id for model in client.models.list()] == [MODEL]
 
 
-def test_completion_is_whole_and_right(client):
+def test_completion_is_complete_and_correct(client):
     answer = client.completions.create(
         model=MODEL, prompt='sopa de ajo', max_tokens=9
     )
@@ -39,7 +39,7 @@
     assert answer.usage.completion_tokens == 9
 
 
-def test_streamed_chat_ends_in_a_finish_reason(client):
+def test_streamed_chat_ends_with_a_finish_reason(client):
     chunks = list(
         client.chat.completions.create(
             model=MODEL,
@@ -57,7 +57,7 @@
     assert chunks[-1].ibisring_outcome == 'done'
 
 
-def test_service_call_is_answered(router):
+def test_service_call_gets_a_response(router):
     response = builders.post(router, '/v1/services/etiquetado', {'lote': 7})
     assert response.json()['echo'] == {'lote': 7}
     assert response.headers['Ibisring-Outcome'] == 'done'
@@ -88,14 +88,14 @@
     assert error['outcome'] == 'not_run'
 
 
-def test_request_beyond_the_context_is_refused(router):
+def test_request_longer_than_the_context_is_rejected(router):
     body = {'model': MODEL, 'prompt': 'x', 'max_tokens': 9000}
     response = builders.post(router, '/v1/completions', body)
     assert response.status == 400
     assert 'context' in response.json()['error']['message']
 
 
-def test_oversized_body_is_refused(router):
+def test_oversized_body_is_rejected(router):
     body = {'model': MODEL, 'prompt': 'x' * 5_000_000}
     response = builders.post(router, '/v1/completions', body)
     assert response.status == 413
@@ -103,15 +103,15 @@
 
 
 def test_objective_of_the_records_reaches_placement(router, monkeypatch):
-    """Whether a request has time to spare goes by its objective as well."""
+    """The time a request has to spare also depends on its objective."""
     tickets = []
     place = router.placement.place
 
-    def watched(ticket, is_gone):
+    def recording_place(ticket, is_gone):
         tickets.append(ticket)
         return place(ticket, is_gone)
 
-    monkeypatch.setattr(router.placement, 'place', watched)
+    monkeypatch.setattr(router.placement, 'place', recording_place)
     body = {'model': 'modelo-cocina', 'prompt': 'pan', 'max_tokens': 2}
     headers = {'Ibisring_Deadline_Ms': '50000'}
     assert (
--- a/packages/router/ibisring_router/tests/test_processes.py
+++ b/packages/router/ibisring_router/tests/test_processes.py
@@ -19,9 +19,9 @@
 from ibisring_web import events
 
 MODEL = 'modelo-cocina'
-LONG_WAIT = 30.0
-LOOK = 0.02
-QUICK = {
+LONG_WAIT_SECONDS = 30.0
+POLL_SECONDS = 0.02
+SHORT_INTERVALS = {
     'lease_seconds': 1.0,
     'status_seconds': 0.1,
     'probe_seconds': 0.2,
@@ -31,12 +31,12 @@
 
 
 def wait_until(condition):
-    """Look until a condition holds; fail after a generous time."""
-    end = time.monotonic() + LONG_WAIT
+    """Poll until a condition holds; fail after `LONG_WAIT_SECONDS`."""
+    deadline = time.monotonic() + LONG_WAIT_SECONDS
     pause = threading.Event()
     while not condition():
-        assert time.monotonic() < end, 'waited for too long'
-        pause.wait(LOOK)
+        assert time.monotonic() < deadline, 'waited for too long'
+        pause.wait(POLL_SECONDS)
 
 
 @pytest.fixture
@@ -48,17 +48,19 @@
 
 @pytest.fixture
 def fleet(site):
-    routers = processes.start(site, 2, **QUICK)
+    routers = processes.start(site, 2, **SHORT_INTERVALS)
     yield routers
     stop(routers)
 
 
 @pytest.fixture
-def parted(site):
-    """Three routers; the last is cut off, for it has another peer key."""
+def partitioned_fleet(site):
+    """Three routers; the last has another peer key, so peers reject it."""
     keys = ('a' * 16, 'a' * 16, 'b' * 16)
     routers = [
-        processes.RouterProcess(site, f'router-{n}', peer_keys=key, **QUICK)
+        processes.RouterProcess(
+            site, f'router-{n}', peer_keys=key, **SHORT_INTERVALS
+        )
         for n, key in enumerate(keys)
     ]
     site.platform.vms.listed = [router.vm() for router in routers]
@@ -69,25 +71,25 @@
 def stop(routers):
     processes.stop_all(routers)
     for router in routers:
-        # Shown where a test fails.
-        print(router.id, *router.lines, sep='\n')
+        # pytest shows this output if the test fails.
+        print(router.id, *router.log_lines, sep='\n')
 
 
-def get(address, path):
+def http_get(address, path):
     return builders.HTTP.request('GET', f'http://{address}{path}')
 
 
-def holders(site):
+def lease_rows(site):
     rows = site.platform.table.scan(reconciling.LEASE_PREFIX)
     return {
         row.key: msgspec.convert(row.value, leases.LeaseRow) for row in rows
     }
 
 
-def all_held_by(site, names):
-    rows = holders(site)
+def all_held_by(site, router_ids):
+    rows = lease_rows(site)
     return len(rows) == reconciling.SHARES and all(
-        row.holder in names for row in rows.values()
+        row.holder in router_ids for row in rows.values()
     )
 
 
@@ -107,50 +109,50 @@
     )
 
 
-def test_sigterm_cuts_nothing_in_flight(site, fleet):
-    """Symptom: sheets break off whenever a VM is replaced.
+def test_sigterm_interrupts_no_request_in_flight(site, fleet):
+    """Failure: responses break off whenever a VM is replaced.
 
-    Sequence: SIGTERM while an answer streams.
-    Cause: the process ended with its streams.
+    SIGTERM arrives while a response streams; the process must not exit
+    before the stream has ended.
     """
-    leaver = fleet[0]
-    data = events.decode(open_stream(leaver, 150).stream())
+    draining = fleet[0]
+    data = events.decode(open_stream(draining, 150).stream())
     received = [next(data)]
-    leaver.signal(signal.SIGTERM)
-    wait_until(lambda: get(leaver.callers, '/readyz').status == 503)
-    assert get(leaver.callers, '/healthz').status == 200
+    draining.signal(signal.SIGTERM)
+    wait_until(lambda: http_get(draining.callers, '/readyz').status == 503)
+    assert http_get(draining.callers, '/healthz').status == 200
     received.extend(data)
     assert received[-1] == events.DONE
-    words = [msgspec.json.decode(d) for d in received[:-2]]
-    text = ''.join(word['choices'][0]['text'] for word in words)
+    chunks = [msgspec.json.decode(d) for d in received[:-2]]
+    text = ''.join(chunk['choices'][0]['text'] for chunk in chunks)
     expected = engine.expected_tokens('ficha', deployments.LAYERS, 150)
     assert text == ''.join(expected)
-    assert leaver.process.wait(timeout=LONG_WAIT) == 0
+    assert draining.process.wait(timeout=LONG_WAIT_SECONDS) == 0
 
 
-def test_leases_are_handed_over_by_sigterm_and_sigkill(site, fleet):
-    names = {router.id for router in fleet}
-    wait_until(lambda: all_held_by(site, names))
+def test_leases_change_holder_after_sigterm_and_sigkill(site, fleet):
+    router_ids = {router.id for router in fleet}
+    wait_until(lambda: all_held_by(site, router_ids))
     fleet[0].signal(signal.SIGKILL)
     wait_until(lambda: all_held_by(site, {fleet[1].id}))
-    assert get(fleet[1].callers, '/readyz').status == 200
+    assert http_get(fleet[1].callers, '/readyz').status == 200
     fleet[1].signal(signal.SIGTERM)
     wait_until(lambda: all_held_by(site, {leases.NO_HOLDER}))
 
 
-def test_paused_holder_comes_back_and_orders_nothing(site, fleet):
-    """Symptom: an engine is ordered about by two routers in turn.
+def test_resumed_lease_holder_sends_no_orders(site, fleet):
+    """Failure: two routers alternately send orders to one engine.
 
-    Sequence: a holder is stopped (SIGSTOP), its leases go to another, it
-    is continued (SIGCONT) and believes that it still holds them.
-    Cause: a lease looked at before the pause was trusted after it.
+    A lease holder is stopped (SIGSTOP), its leases pass to another router,
+    and it is continued (SIGCONT) still assuming that it holds them.  A lease
+    checked before the pause must not be relied on after it.
     """
-    names = {router.id for router in fleet}
-    wait_until(lambda: all_held_by(site, names))
-    paused, other = fleet
+    router_ids = {router.id for router in fleet}
+    wait_until(lambda: all_held_by(site, router_ids))
+    paused, successor = fleet
     paused.signal(signal.SIGSTOP)
-    wait_until(lambda: all_held_by(site, {other.id}))
-    before = holders(site)
+    wait_until(lambda: all_held_by(site, {successor.id}))
+    before = lease_rows(site)
     for server in site.engines.values():
         status = server.engine.status
         status.loaded = False
@@ -166,15 +168,15 @@
         assert server.engine.status.fencing >= row.fencing
 
 
-def outcome(answer):
-    return answer.json()['error']['outcome']
+def error_outcome(response):
+    return response.json()['error']['outcome']
 
 
 def revision_at(operator, address):
     return operator.call('GET', address, '/v1/in-force')['revision']
 
 
-def alert(router, key):
+def send_alert(router, key):
     account = deployments.account_key('cocina-1')
     return builders.HTTP.request(
         'POST',
@@ -187,21 +189,23 @@
     )
 
 
-def test_router_cut_off_from_its_peers_does_no_harm(site, parted):
-    """Symptom: an alert goes out twice, or two routers order one engine.
+def test_router_cut_off_from_its_peers_stays_consistent(
+    site, partitioned_fleet
+):
+    """Failure: an alert is sent twice, or two routers order one engine.
 
-    Sequence: the network between a router and its peers is cut; it reaches
-    callers, endpoints and the platform. A caller repeats its alert there.
-    Cause: what one router knew reached the others only by peers.
+    The network between a router and its peers fails, but it still reaches
+    callers, endpoints and the platform.  A caller repeats its alert there;
+    what other routers did must be known without the peers.
     """
-    near, _, cut_off = parted
-    wait_until(lambda: all_held_by(site, {r.id for r in parted}))
-    wait_until(lambda: alert(near, 'k1').status == 200)
-    # While the table is slow for a moment it is not_run, as truthfully.
-    wait_until(lambda: outcome(alert(cut_off, 'k1')) == 'unknown')
-    fresh = alert(cut_off, 'k2')
-    assert outcome(fresh) == 'not_run'
-    assert 'Retry-After' in fresh.headers
+    connected, _, cut_off = partitioned_fleet
+    wait_until(lambda: all_held_by(site, {r.id for r in partitioned_fleet}))
+    wait_until(lambda: send_alert(connected, 'k1').status == 200)
+    # While the table service is slow it is not_run, which is also correct.
+    wait_until(lambda: error_outcome(send_alert(cut_off, 'k1')) == 'unknown')
+    new_alert = send_alert(cut_off, 'k2')
+    assert error_outcome(new_alert) == 'not_run'
+    assert 'Retry-After' in new_alert.headers
     runs = [len(service.ledger) for service in site.services.values()]
     assert sum(runs) == 1
     operator = calls.make_caller(key=builders.OPERATOR_KEY)
@@ -209,7 +213,7 @@
     submission = records.Submission('s1', [record])
     accepted = operator.call(
         'POST',
-        near.control,
+        connected.control,
         '/v1/records',
         submission,
         cls=records.Accepted,
--- a/packages/router/ibisring_router/tests/test_settings.py
+++ b/packages/router/ibisring_router/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are refused at the start, by flag and remedy."""
+"""Invalid settings are rejected at the start with flag and remedy."""
 
 import socket
 import threading
@@ -26,23 +26,23 @@
         ('peer_keys', 'k' * 16 + ',corta'),
     ],
 )
-def test_bad_value_names_the_flag(name, value):
+def test_error_for_a_bad_value_names_the_flag(name, value):
     with pytest.raises(exceptions.InvalidSetting) as caught:
         settings.check(settings.Settings(**{name: value}))
     assert '--' + name.replace('_', '-') in str(caught.value)
     assert 'IBISRING_' + name.upper() in str(caught.value)
 
 
-def test_platform_needs_an_operator_key():
+def test_external_platform_needs_an_operator_key():
     with pytest.raises(exceptions.InvalidSetting):
         settings.check(settings.Settings(platform='127.0.0.1:9000'))
 
 
-def test_every_address_needs_one_to_advertise():
-    """Symptom: repeats on other routers are always answered unknown.
+def test_listening_on_all_addresses_needs_one_to_advertise():
+    """Failure: retries sent to other routers always get outcome unknown.
 
-    Sequence: routers listen on every address and tell peers just that.
-    Cause: 0.0.0.0 is nobody's address, so no owner could be asked.
+    Routers listen on all addresses and advertise 0.0.0.0, at which no peer
+    can query them.
     """
     with pytest.raises(exceptions.InvalidSetting) as caught:
         settings.check(settings.Settings(control_listen='0.0.0.0:8081'))
@@ -56,24 +56,23 @@
 
 
 @pytest.mark.parametrize('flag', ['--control-listen', '--caller-listen'])
-def test_address_in_use_names_the_flag_and_ends(flag):
-    """Symptom: a router refused at its start never ends.
+def test_address_in_use_names_the_flag_and_exits(flag):
+    """Failure: a router that could not start never exits.
 
-    Sequence: the address of a flag is taken; the refusal is printed.
-    Cause: threads of the listeners that had been started lived on, and a
-    process waits for them; its supervisor never started it again.
+    The address of a flag is in use.  Threads of listeners that were already
+    started kept the process alive, so its supervisor never restarted it.
     """
-    before = _threads_that_keep_a_process()
+    before = _non_daemon_threads()
     with socket.create_server(('127.0.0.1', 0)) as taken:
         address = f'127.0.0.1:{taken.getsockname()[1]}'
         given = ['--control-listen=127.0.0.1:0', '--caller-listen=127.0.0.1:0']
         result = RUNNER.invoke(main.app, [*given, f'{flag}={address}'])
     assert result.exit_code == 2
     assert flag in result.output
-    assert _threads_that_keep_a_process() <= before
+    assert _non_daemon_threads() <= before
 
 
-def _threads_that_keep_a_process():
+def _non_daemon_threads():
     return {each for each in threading.enumerate() if not each.daemon}
 
 
