--- a/packages/operator/ibisring_operator/burnreport.py
+++ b/packages/operator/ibisring_operator/burnreport.py
@@ -1,4 +1,4 @@
-"""The service-level burn report as text and as one HTML page."""
+"""Error budget burn report as text and as an HTML page."""
 
 __all__ = ['text', 'page']
 
@@ -9,16 +9,16 @@
 COLUMNS = ('group', 'name', 'window', 'total', 'good', 'target', 'burn')
 PLOT_MINUTES = 60
 PLOT_HEIGHT = 320
-NO_TALLY = (0, 0)
+EMPTY_TALLY = (0, 0)
 
 
 def text(report):
-    """Give the report as aligned text.
+    """Return the report as aligned text.
 
     Parameters
     ----------
     report : dict
-        As the router answered it.
+        As sent by the router.
     """
     lines = [
         f'{"group":8} {"name":24} {"window":6} {"requests":>9}'
@@ -31,12 +31,12 @@
             f' {row["total"]:9d} {row["good"]:8d} {row["target"]:8.4f}'
             f' {burn:>8}'
         )
-    lines.extend(f'not reached: {what}' for what in report['unreached'])
+    lines.extend(f'not reached: {period}' for period in report['unreached'])
     return '\n'.join(lines)
 
 
 def _plot(group, minutes):
-    """Draw the share within the bound by minute, a line for each member."""
+    """Plot the share within the bound by minute, one line per member."""
     times = sorted(int(minute) for minute in minutes)[-PLOT_MINUTES:]
     names = sorted(
         {
@@ -58,25 +58,25 @@
     for name in names:
         points = []
         for time in times:
-            total, good = minutes[str(time)].get(name, NO_TALLY)
+            total, good = minutes[str(time)].get(name, EMPTY_TALLY)
             points.append(good / total if total else None)
         chart.add(name.partition('/')[2], points)
     return chart.render(is_unicode=True)
 
 
 def page(report):
-    """Give the report as one HTML page that needs nothing else."""
+    """Return the report as one self-contained HTML page."""
     cells = ''.join(f'<th>{column}</th>' for column in COLUMNS)
     body = []
     for row in report['rows']:
-        burning = row['burn'] is not None and row['burn'] > 1.0
-        mark = ' class="burning"' if burning else ''
+        over_budget = row['burn'] is not None and row['burn'] > 1.0
+        mark = ' class="burning"' if over_budget else ''
         values = ''.join(
             f'<td>{html.escape(str(row[column]))}</td>' for column in COLUMNS
         )
         body.append(f'<tr{mark}>{values}</tr>')
     unreached = ''.join(
-        f'<li>{html.escape(what)}</li>' for what in report['unreached']
+        f'<li>{html.escape(period)}</li>' for period in report['unreached']
     )
     plots = ''.join(
         _plot(group, report['minutes'])
--- a/packages/operator/ibisring_operator/client.py
+++ b/packages/operator/ibisring_operator/client.py
@@ -1,4 +1,4 @@
-"""Calling routers' control interfaces."""
+"""Client of the routers' control interface."""
 
 __all__ = ['ControlClient', 'RouterView', 'make_client']
 
@@ -10,13 +10,13 @@
 from ibisring_web import calls
 import msgspec
 
-READ_TIMEOUT = 10.0
-LOOK_TIMEOUT = 2.0
-LOOKS_AT_ONCE = 32
+READ_TIMEOUT_SECONDS = 10.0
+VIEW_TIMEOUT_SECONDS = 2.0
+MAX_CONCURRENT_VIEWS = 32
 
 
 class RouterView(msgspec.Struct):
-    """What is in force on one router; `problem` if it did not answer."""
+    """Status of one router; `problem` is set if it did not respond."""
 
     router: str
     revision: int = -1
@@ -27,7 +27,7 @@
 
 
 class ControlClient:
-    """Speaks to one router with an operator's key.
+    """Client of one router, authenticated by an operator key.
 
     Parameters
     ----------
@@ -39,9 +39,9 @@
     def __init__(self, address, key):
         self.address = address
         self.headers = {'Authorization': f'Bearer {key}'}
-        self.caller = calls.make_caller(read_timeout=READ_TIMEOUT)
+        self.caller = calls.make_caller(read_timeout=READ_TIMEOUT_SECONDS)
 
-    def _ask(self, path, cls=None, address='', **options):
+    def _get(self, path, cls=None, address='', **options):
         address = address or self.address
         try:
             return self.caller.call(
@@ -79,7 +79,7 @@
             ) from error
 
     def settle(self, submission_id):
-        """Give the acceptance of a submission.
+        """Return the `Accepted` of a submission.
 
         Raises
         ------
@@ -87,47 +87,49 @@
             It was not accepted.
         """
         quoted = urllib.parse.quote(submission_id)
-        return self._ask(f'/v1/submissions/{quoted}', records.Accepted)
+        return self._get(f'/v1/submissions/{quoted}', records.Accepted)
 
     def get(self, kind='', name='', schema=''):
-        """Give records as the router sees them, as builtins."""
+        """Return the active records of the router, as builtins."""
         query = urllib.parse.urlencode(
             {'kind': kind, 'name': name, 'schema': schema}
         )
-        return self._ask(f'/v1/records?{query}')
+        return self._get(f'/v1/records?{query}')
 
     def burn(self):
-        """Give the service-level burn report as builtins."""
-        return self._ask('/v1/burn')
+        """Return the burn report as builtins."""
+        return self._get('/v1/burn')
 
-    def fleet(self):
-        """Give what is in force on every router of the VM list.
+    def router_views(self):
+        """Return the views of all routers on the VM list.
 
-        Many are asked at the same time: while some are frozen an operator
-        must not wait out a timeout for each of them in turn.
+        Routers are queried concurrently, so that unresponsive ones don't
+        delay the operator by one timeout each.
         """
-        listed = self._ask('/v1/vms')
-        with concurrent.futures.ThreadPoolExecutor(LOOKS_AT_ONCE) as pool:
-            return list(pool.map(self._view, listed))
+        entries = self._get('/v1/vms')
+        with concurrent.futures.ThreadPoolExecutor(
+            MAX_CONCURRENT_VIEWS
+        ) as pool:
+            return list(pool.map(self._view_or_problem, entries))
 
-    def _view(self, vm):
+    def _view_or_problem(self, vm):
         try:
             return self.router_view(vm['address'])
         except exceptions.IbisringError as error:
             return RouterView(vm['id'], problem=error.detail)
 
     def router_view(self, address=''):
-        """Give the `RouterView` of a router, of this one if none is named."""
-        found = self._ask(
-            '/v1/in-force', address=address, read_timeout=LOOK_TIMEOUT
+        """Return the `RouterView` of a router, by default of this one."""
+        view = self._get(
+            '/v1/in-force', address=address, read_timeout=VIEW_TIMEOUT_SECONDS
         )
-        return msgspec.convert(found, RouterView, strict=False)
+        return msgspec.convert(view, RouterView, strict=False)
 
     def counters(self):
-        """Give the router's counters by name."""
-        return self._ask('/v1/counters')
+        """Return the router's counters by name."""
+        return self._get('/v1/counters')
 
 
 def make_client(address, key):
-    """Make a client of a router's control interface."""
+    """Create a client of a router's control interface."""
     return ControlClient(address, key)
--- a/packages/operator/ibisring_operator/loglines.py
+++ b/packages/operator/ibisring_operator/loglines.py
@@ -1,4 +1,4 @@
-"""Structured log lines of several VMs, read one at a time."""
+"""Reader of the structured log lines of several VMs."""
 
 __all__ = ['Line', 'Reader', 'make_reader']
 
@@ -8,15 +8,15 @@
 from ibisring_records import exceptions
 import msgspec
 
-_HIDDEN = ('time', 'level', 'module', 'event', 'id')
-# What a collector of logs may put before a line, the VM's name last.
+_NON_FACTS = ('time', 'level', 'module', 'event', 'id')
+# A log collector may put text before a line; its last word is the VM's name.
 _PREFIX = re.compile(r'^(?P<before>[^{]*)(?P<json>\{.*)$')
-# Damaged lines named to the operator; all are counted.
-MOST_NAMED = 5
+# Damaged lines whose place is reported; all of them are counted.
+MAX_DAMAGED_PLACES = 5
 
 
 class Line(msgspec.Struct):
-    """A log line: seconds of its clock, where it was written, its facts."""
+    """A log line: time on the clock of its VM, source VM, event and facts."""
 
     time: float
     source: str
@@ -26,30 +26,30 @@
 
 
 class Reader:
-    """Gives the lines of files without holding them.
+    """Yields the lines of files without keeping them in memory.
 
-    Lines that are not structured are passed over.  One that begins as a
-    structured line and can't be read is damaged: cut by a full disk, or
-    mixed with another process's output.
+    Unstructured lines are skipped.  A line that starts like a structured one
+    but can't be parsed is damaged: truncated by a full disk, or mixed with
+    the output of another process.
 
     Attributes
     ----------
     damaged : int
-    named : list of str
-        Places of the first damaged lines.
+    damaged_places : list of str
+        Files and numbers of the first damaged lines.
     """
 
     def __init__(self):
         self.damaged = 0
-        self.named = []
+        self.damaged_places = []
 
     def read(self, path):
-        """Give the lines of a file, one by one.
+        """Yield the lines of a file.
 
         Parameters
         ----------
         path : pathlib.Path
-            Its stem stands for the VM where lines don't name one.
+            Its stem is the source of lines that don't name a VM.
 
         Raises
         ------
@@ -65,7 +65,7 @@
             ) from error
 
     def parse(self, name, rows, place=''):
-        """Give the structured lines among rows of text.
+        """Yield the structured lines among rows of text.
 
         Examples
         --------
@@ -73,23 +73,23 @@
         >>> rows = ['12.1 vm-1 {"time": 1.0, "event": "x"}', '{"time": 2']
         >>> [line.source for line in reader.parse('a', rows, 'a.log')]
         ['vm-1']
-        >>> reader.damaged, reader.named
+        >>> reader.damaged, reader.damaged_places
         (1, ['a.log:2'])
         """
         for number, raw in enumerate(rows, 1):
             match = _PREFIX.match(raw.rstrip('\r\n'))
             if match is None:
                 continue
-            line = _line(name, match)
+            line = _parse_line(name, match)
             if line is None:
                 self.damaged += 1
-                if len(self.named) < MOST_NAMED:
-                    self.named.append(f'{place}:{number}')
+                if len(self.damaged_places) < MAX_DAMAGED_PLACES:
+                    self.damaged_places.append(f'{place}:{number}')
                 continue
             yield line
 
 
-def _line(name, match):
+def _parse_line(name, match):
     try:
         value = json.loads(match['json'])
         time = float(value['time'])
@@ -102,10 +102,10 @@
         before[-1] if before else name,
         event,
         str(value.get('id', '')),
-        {k: v for k, v in value.items() if k not in _HIDDEN},
+        {k: v for k, v in value.items() if k not in _NON_FACTS},
     )
 
 
 def make_reader():
-    """Make a `Reader` that has met no damaged line."""
+    """Create a `Reader` with no damaged lines counted."""
     return Reader()
--- a/packages/operator/ibisring_operator/losses.py
+++ b/packages/operator/ibisring_operator/losses.py
@@ -1,7 +1,7 @@
-"""Where callers lost, summed up from the logs of several VMs.
+"""Statistics of failed and late requests, from the logs of several VMs.
 
-Each request counts once, by how it ended and why, in the order in which
-operators act on it: what was refused, what failed, what was late.
+Each request is counted once, by its result and the cause: refused, failed,
+late or on time.
 """
 
 __all__ = ['Losses', 'make_losses', 'report', 'text', 'plot']
@@ -11,16 +11,16 @@
 import msgspec
 import pygal
 
-# Requests under way whose causes are kept; beyond it the oldest are dropped.
-MOST_REQUESTS = 50000
-# Engines and chains listed in a table.
-MOST_ROWS = 12
-# Streams with fewer events say little of the time that an event takes.
-LEAST_EVENTS = 10
-# Seconds that a bar of the plot stands for.
-BAR = 2.0
+# Unfinished requests whose causes are kept; beyond it the oldest are dropped.
+MAX_REQUESTS = 50000
+# Rows per table of the text report.
+MAX_ROWS = 12
+# With fewer events the mean time per event of a stream is too inaccurate.
+MIN_EVENTS = 10
+# Seconds per bar of the plot.
+BAR_SECONDS = 2.0
 ON_TIME = 'on time'
-# Events that explain why a request was late or failed, by what they say.
+# Causes for which a request is late or fails, by the event that logs them.
 CAUSES = {
     'stages_lost': 'stage lost',
     'no_way_round': 'no other holder',
@@ -29,12 +29,12 @@
     'endpoint_unreachable': 'not reached',
     'answer_lost': 'answer lost',
 }
-# Outcomes that say that callers asked for what is not allowed, or left.
-NOT_OWED = frozenset(('unauthorized', 'not_found', 'caller_gone'))
+# Outcomes due to the caller: forbidden requests, closed connections.
+CALLER_OUTCOMES = frozenset(('unauthorized', 'not_found', 'caller_gone'))
 
 
 class Bar(msgspec.Struct):
-    """Requests that began within some seconds, by how they ended."""
+    """Requests that started within `BAR_SECONDS`, by result."""
 
     on_time: int = 0
     late: int = 0
@@ -43,78 +43,83 @@
 
 
 class Losses:
-    """Counts requests line by line; what it holds is bounded.
+    """Counts requests line by line, in bounded memory.
 
     Parameters
     ----------
     since, until : float
-        Seconds from the first line; requests that began outside are left
-        out.
+        Seconds from the first line; requests that started outside are not
+        counted.
     """
 
     def __init__(self, since=0.0, until=float('inf')):
         self.since = since
         self.until = until
-        self.zero = None
+        self.first_line_at = None
         self.causes = collections.OrderedDict()
-        self.ends = collections.Counter()
+        self.results = collections.Counter()
         self.bars = collections.defaultdict(Bar)
-        self.paces = collections.defaultdict(list)
-        self.heads = collections.defaultdict(collections.Counter)
+        self.event_ms_by_stages = collections.defaultdict(list)
+        self.first_stage_load = collections.defaultdict(collections.Counter)
         self.rejections = collections.Counter()
         self.shortages = collections.Counter()
 
-    def take(self, line):
+    def add_line(self, line):
         """Count a line."""
-        if self.zero is None:
-            self.zero = line.time
+        if self.first_line_at is None:
+            self.first_line_at = line.time
         if line.event in CAUSES:
-            self._note_cause(line)
+            self._add_cause(line)
         elif line.event == 'request':
-            self._take_request(line)
+            self._add_request(line)
 
-    def _note_cause(self, line):
+    def _add_cause(self, line):
         key = line.source, line.request
         self.causes.setdefault(key, set()).add(CAUSES[line.event])
-        while len(self.causes) > MOST_REQUESTS:
+        while len(self.causes) > MAX_REQUESTS:
             self.causes.popitem(last=False)
-        begun = line.time - self.zero
-        if line.event == 'endpoint_refused' and self._is_within(begun):
-            culprit = line.facts.get('culprit')
-            self.rejections[culprit, line.facts.get('status')] += 1
+        start = line.time - self.first_line_at
+        if line.event == 'endpoint_refused' and self._is_within(start):
+            endpoint = line.facts.get('culprit')
+            self.rejections[endpoint, line.facts.get('status')] += 1
 
     def _is_within(self, seconds):
         return self.since <= seconds < self.until
 
-    def _take_request(self, line):
+    def _add_request(self, line):
         causes = self.causes.pop((line.source, line.request), ())
         facts = line.facts
         seconds = float(facts.get('ms') or 0.0) / 1000.0
-        begun = line.time - seconds - self.zero
-        if not self._is_within(begun) or facts.get('outcome') in NOT_OWED:
+        start = line.time - seconds - self.first_line_at
+        if (
+            not self._is_within(start)
+            or facts.get('outcome') in CALLER_OUTCOMES
+        ):
             return
-        end, cause = _end(facts, causes)
-        self.ends[end, cause] += 1
-        bar = self.bars[int(begun // BAR)]
-        setattr(bar, end, getattr(bar, end) + 1)
-        for each in facts.get('layers') or ():
-            self.shortages[each] += 1
+        result, cause = _classify(facts, causes)
+        self.results[result, cause] += 1
+        bar = self.bars[int(start // BAR_SECONDS)]
+        setattr(bar, result, getattr(bar, result) + 1)
+        for layers in facts.get('layers') or ():
+            self.shortages[layers] += 1
         if facts.get('chain') and facts.get('outcome') == 'answered':
-            self._take_stream(facts, begun, seconds)
+            self._add_stream(facts, start, seconds)
 
-    def _take_stream(self, facts, begun, seconds):
+    def _add_stream(self, facts, start, seconds):
         stages = facts['chain'].split()
         events = int(facts.get('events') or 0)
-        if events >= LEAST_EVENTS:
-            self.paces[len(stages)].append(seconds * 1000.0 / events)
-        head = stages[0].partition('=')[0]
-        for second in range(int(begun), int(begun + seconds) + 1):
-            overlap = min(second + 1, begun + seconds) - max(second, begun)
-            self.heads[head][second] += max(0.0, overlap)
-
-
-def _end(facts, causes):
-    """Give how a request ended, and why."""
+        if events >= MIN_EVENTS:
+            self.event_ms_by_stages[len(stages)].append(
+                seconds * 1000.0 / events
+            )
+        first_stage = stages[0].partition('=')[0]
+        for second in range(int(start), int(start + seconds) + 1):
+            overlap = min(second + 1, start + seconds) - max(second, start)
+            self.first_stage_load[first_stage][second] += max(0.0, overlap)
+
+
+def _classify(facts, causes):
+    """Return the result of a request and its cause."""
     outcome = facts.get('outcome')
     status = facts.get('status') or 0
     if outcome == 'answered':
@@ -123,24 +128,24 @@
             return 'on_time', ON_TIME
         return 'late', f'{late}: {", ".join(sorted(causes)) or "no loss seen"}'
     if outcome == 'failed':
-        what = f'status {status}' if status else 'broken off'
-        return 'failed', what
-    why = f'{outcome}: {facts.get("why", "")}'
-    return ('refused' if status in (429, 503) else 'failed'), why
+        cause = f'status {status}' if status else 'broken off'
+        return 'failed', cause
+    cause = f'{outcome}: {facts.get("why", "")}'
+    return ('refused' if status in (429, 503) else 'failed'), cause
 
 
 def report(losses):
-    """Give all figures as builtins."""
-    total = sum(losses.ends.values())
+    """Return all figures as builtins."""
+    total = sum(losses.results.values())
     return {
         'requests': total,
         'ends': [
-            {'end': end, 'cause': cause, 'requests': count}
-            for (end, cause), count in losses.ends.most_common()
+            {'end': result, 'cause': cause, 'requests': count}
+            for (result, cause), count in losses.results.most_common()
         ],
         'ms_an_event': [
-            {'stages': stages, 'streams': len(found), 'median': _median(found)}
-            for stages, found in sorted(losses.paces.items())
+            {'stages': stages, 'streams': len(times), 'median': _median(times)}
+            for stages, times in sorted(losses.event_ms_by_stages.items())
         ],
         'first_stages': _first_stages(losses),
         'rejections': [
@@ -152,7 +157,7 @@
             for layers, count in losses.shortages.most_common()
         ],
         'bars': [
-            {'second': number * BAR, **msgspec.to_builtins(bar)}
+            {'second': number * BAR_SECONDS, **msgspec.to_builtins(bar)}
             for number, bar in sorted(losses.bars.items())
         ],
     }
@@ -164,11 +169,11 @@
 
 def _first_stages(losses):
     rows = []
-    for head, seconds in losses.heads.items():
+    for first_stage, seconds in losses.first_stage_load.items():
         total = sum(seconds.values())
         rows.append(
             {
-                'engine': head,
+                'engine': first_stage,
                 'mean': round(total / max(1, len(seconds)), 1),
                 'most': round(max(seconds.values()), 1),
             }
@@ -177,17 +182,17 @@
 
 
 def text(figures):
-    """Write a report as aligned tables."""
+    """Return a report as aligned tables."""
     parts = [f'{figures["requests"]} requests']
     for title, rows in (
-        ('how requests ended', figures['ends']),
-        ('layers without room', figures['without_room']),
+        ('results of requests', figures['ends']),
+        ('layers without free capacity', figures['without_room']),
         ('rejections', figures['rejections']),
         ('streams by number of stages', figures['ms_an_event']),
-        ('streams at a time by first stage', figures['first_stages']),
+        ('concurrent streams by first stage', figures['first_stages']),
     ):
         if rows:
-            parts.append(f'\n{title}\n{_table(rows[:MOST_ROWS])}')
+            parts.append(f'\n{title}\n{_table(rows[:MAX_ROWS])}')
     return '\n'.join(parts)
 
 
@@ -202,17 +207,17 @@
 
 
 def plot(figures, marks):
-    """Draw how requests ended over time, as one SVG.
+    """Plot the results of requests over time, as one SVG.
 
     Parameters
     ----------
     figures : dict
-        Of `report`.
+        As returned by `report`.
     marks : list of (float, str)
-        Seconds and what happened then.
+        Seconds from the first line, and a label.
     """
     chart = pygal.StackedBar(
-        title='Requests by second at which they began',
+        title='Requests by second of their start',
         js=(),
         x_label_rotation=60,
     )
@@ -224,10 +229,10 @@
 
 
 def _label(second, marks):
-    names = [name for at, name in marks if second <= at < second + BAR]
+    names = [name for at, name in marks if second <= at < second + BAR_SECONDS]
     return ' '.join([f'{second:g}', *names])
 
 
 def make_losses(since=0.0, until=float('inf')):
-    """Make `Losses` that have counted nothing."""
+    """Create an empty `Losses`."""
     return Losses(since, until)
--- a/packages/operator/ibisring_operator/main.py
+++ b/packages/operator/ibisring_operator/main.py
@@ -1,7 +1,8 @@
 """The ``ibisring`` command for operators.
 
-Exit codes: 0 done, 2 bad use or bad record, 3 conflict, 4 not accepted or
-not reached, 5 unknown whether accepted, 6 some router is behind.
+Exit codes: 0 success, 2 usage error or invalid record, 3 conflict, 4 not
+accepted or router unreachable, 5 unknown whether accepted, 6 some router is
+behind.
 """
 
 __all__ = ['app']
@@ -54,8 +55,8 @@
 OUTPUT = typer.Option(Output.TABLE, '--output', envvar='IBISRING_OUTPUT')
 
 
-def fail(error):
-    """Print an error and leave with its exit code."""
+def exit_with_error(error):
+    """Print an error and exit with its code."""
     typer.echo(f'{error.code}: {error}', err=True)
     for name, value in error.facts.items():
         typer.echo(f'  {name}: {value}', err=True)
@@ -64,7 +65,7 @@
             raise typer.Exit(code) from error
 
 
-def show(rows, columns, output):
+def print_rows(rows, columns, output):
     """Print rows of builtins as an aligned table or as JSON."""
     if output is Output.JSON:
         typer.echo(json.dumps(rows, indent=2))
@@ -100,17 +101,19 @@
     address: str = ADDRESS,
     key: str = KEY,
     output: Output = OUTPUT,
-    submission_id: str = typer.Option('', '--id', help='To repeat one.'),
+    submission_id: str = typer.Option(
+        '', '--id', help='Id, to retry a submission.'
+    ),
 ):
-    """Submit the records in FILES together: all are accepted or none."""
+    """Submit the records in FILES; either all are accepted or none."""
     submission_id = submission_id or uuid.uuid4().hex
     try:
         submission = records.Submission(submission_id, _read_records(files))
         accepted = client_module.make_client(address, key).submit(submission)
     except exceptions.IbisringError as error:
-        fail(error)
+        exit_with_error(error)
     row = msgspec.to_builtins(accepted)
-    show([row], ['submission', 'revision'], output)
+    print_rows([row], ['submission', 'revision'], output)
 
 
 @app.command()
@@ -120,35 +123,37 @@
     key: str = KEY,
     output: Output = OUTPUT,
 ):
-    """Say whether a submission was accepted."""
+    """Show whether a submission was accepted."""
     try:
         accepted = client_module.make_client(address, key).settle(
             submission_id
         )
     except exceptions.IbisringError as error:
-        fail(error)
+        exit_with_error(error)
     row = msgspec.to_builtins(accepted)
-    show([row], ['submission', 'revision'], output)
+    print_rows([row], ['submission', 'revision'], output)
 
 
 @app.command()
 def get(
     kind: str = typer.Argument(''),
     name: str = typer.Argument(''),
-    schema: str = typer.Option('', help='Show as v1 or v2.'),
+    schema: str = typer.Option(
+        '', help='Schema in which to show records, v1 or v2.'
+    ),
     address: str = ADDRESS,
     key: str = KEY,
     output: Output = OUTPUT,
 ):
-    """Show the records in force."""
+    """Show the active records."""
     try:
         rows = client_module.make_client(address, key).get(kind, name, schema)
     except exceptions.IbisringError as error:
-        fail(error)
+        exit_with_error(error)
     columns = ['kind', 'name', 'schema', 'revision', 'problem']
     if output is Output.TABLE and name:
         columns.append('spec')
-    show(rows, columns, output)
+    print_rows(rows, columns, output)
 
 
 @app.command()
@@ -156,19 +161,19 @@
     address: str = ADDRESS,
     key: str = KEY,
     output: Output = OUTPUT,
-    once: bool = typer.Option(False, help='Show once and leave.'),
-    seconds: float = typer.Option(2.0, help='Between looks.'),
+    once: bool = typer.Option(False, help='Show once and exit.'),
+    seconds: float = typer.Option(2.0, help='Seconds between updates.'),
 ):
-    """Show which revision is in force on which router, and who is behind."""
+    """Show the active revision of each router, and which are behind."""
     control = client_module.make_client(address, key)
     while True:
         try:
-            views = control.fleet()
+            views = control.router_views()
         except exceptions.IbisringError as error:
-            fail(error)
+            exit_with_error(error)
         newest = max((view.revision for view in views), default=-1)
         rows = [_watch_row(view, newest) for view in views]
-        show(rows, list(rows[0]), output)
+        print_rows(rows, list(rows[0]), output)
         if once:
             behind = any(view.revision < newest for view in views)
             raise typer.Exit(EXIT_BEHIND if behind else 0)
@@ -176,7 +181,7 @@
 
 
 class Format(enum.StrEnum):
-    """Forms of a report."""
+    """Formats of a report."""
 
     TEXT = 'text'
     JSON = 'json'
@@ -189,11 +194,11 @@
     key: str = KEY,
     form: Format = typer.Option(Format.TEXT, '--format'),
 ):
-    """Show how fast services, classes and accounts spend their budgets."""
+    """Show the error budget burn of services, classes and accounts."""
     try:
         report = client_module.make_client(address, key).burn()
     except exceptions.IbisringError as error:
-        fail(error)
+        exit_with_error(error)
     if form is Format.JSON:
         typer.echo(json.dumps(report, indent=2))
     elif form is Format.HTML:
@@ -204,54 +209,60 @@
 
 @app.command()
 def trace(request: str, logs: list[pathlib.Path]):
-    """Show a request's lines from the logs of one or more VMs."""
-    lines = list(_lines(logs))
+    """Show the lines of a request from the logs of one or more VMs."""
+    lines = list(_read_lines(logs))
     found = tracing.trace(lines, request)
     if not found:
-        fail(exceptions.NotFound(f'no line names request {request}'))
+        exit_with_error(exceptions.NotFound(f'no lines of request {request}'))
     typer.echo(tracing.text(found))
 
 
-def _lines(logs):
-    """Give the lines of all files; say at the end what was damaged."""
+def _read_lines(logs):
+    """Yield the lines of all files, then report damaged lines."""
     reader = loglines.make_reader()
     for path in logs:
         try:
             yield from reader.read(path)
         except exceptions.IbisringError as error:
-            fail(error)
+            exit_with_error(error)
     if reader.damaged:
         typer.echo(
-            f'{reader.damaged} damaged lines passed over, the first at '
-            f'{", ".join(reader.named)}',
+            f'{reader.damaged} damaged lines skipped, the first at '
+            f'{", ".join(reader.damaged_places)}',
             err=True,
         )
 
 
-def _mark(text):
-    """Read a mark, `SECONDS:NAME`."""
+def _parse_mark(text):
+    """Parse a mark, `SECONDS:NAME`."""
     seconds, colon, name = text.partition(':')
     try:
         return float(seconds), name
     except ValueError:
-        fail(exceptions.InvalidRequest(f'mark {text!r} is not SECONDS:NAME'))
+        exit_with_error(
+            exceptions.InvalidRequest(f'mark {text!r} is not SECONDS:NAME')
+        )
 
 
 @app.command()
 def losses(
     logs: list[pathlib.Path],
     since: float = typer.Option(0.0, help='Seconds from the first line.'),
-    until: float = typer.Option(float('inf'), help='Seconds, not included.'),
+    until: float = typer.Option(
+        float('inf'), help='Seconds from the first line, exclusive.'
+    ),
     output: Output = OUTPUT,
     plot: pathlib.Path = typer.Option(None, help='SVG file to write.'),
-    mark: list[str] = typer.Option([], help='SECONDS:NAME, for the plot.'),
+    mark: list[str] = typer.Option(
+        [], help='SECONDS:NAME, a label in the plot.'
+    ),
 ):
-    """Show how requests ended and why, from the logs of one or more VMs."""
-    marks = [_mark(each) for each in mark]
-    found = losses_module.make_losses(since, until)
-    for line in _lines(logs):
-        found.take(line)
-    figures = losses_module.report(found)
+    """Show results of requests and causes, from the logs of VMs."""
+    marks = [_parse_mark(each) for each in mark]
+    counts = losses_module.make_losses(since, until)
+    for line in _read_lines(logs):
+        counts.add_line(line)
+    figures = losses_module.report(counts)
     if plot is not None:
         plot.write_text(losses_module.plot(figures, marks))
     if output is Output.JSON:
--- a/packages/operator/ibisring_operator/tests/test_client.py
+++ b/packages/operator/ibisring_operator/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the control interface asks many routers at a time."""
+"""The client of the control interface queries routers concurrently."""
 
 import threading
 
@@ -13,39 +13,38 @@
 
 @pytest.fixture
 def listeners():
-    """Routers that answer only once all of them are asked."""
-    met = threading.Barrier(ROUTERS)
-    made = []
+    """Routers that respond only once all of them have been queried."""
+    all_queried = threading.Barrier(ROUTERS)
+    started = []
 
     def list_vms(request):
-        listed = [
+        entries = [
             {'id': f'r{number}', 'address': each.address}
-            for number, each in enumerate(made)
+            for number, each in enumerate(started)
         ]
-        return routes.json_response(listed)
+        return routes.json_response(entries)
 
-    def in_force(request):
-        met.wait(timeout=1.0)
+    def router_status(request):
+        all_queried.wait(timeout=1.0)
         return routes.json_response({'router': 'r', 'revision': 7})
 
     app = routes.Application(
         [
             routes.route('GET', '/v1/vms', list_vms),
-            routes.route('GET', '/v1/in-force', in_force),
+            routes.route('GET', '/v1/in-force', router_status),
         ]
     )
     for _ in range(ROUTERS):
-        made.append(serving.make_listener(app, threads=2).start())
-    yield made
-    serving.stop_all(made)
+        started.append(serving.make_listener(app, threads=2).start())
+    yield started
+    serving.stop_all(started)
 
 
-def test_routers_are_asked_at_the_same_time(listeners):
-    """Symptom: `watch` takes minutes while a few routers are frozen.
+def test_routers_are_queried_concurrently(listeners):
+    """Failure: `watch` takes minutes while a few routers are frozen.
 
-    Sequence: each frozen router is waited for until the timeout.
-    Cause: they were asked one after the other.
+    Queried one after the other, each frozen router costs a timeout.
     """
-    views = client.make_client(listeners[0].address, 'k').fleet()
+    views = client.make_client(listeners[0].address, 'k').router_views()
     assert [view.revision for view in views] == [7] * ROUTERS
     assert not any(view.problem for view in views)
--- a/packages/operator/ibisring_operator/tests/test_losses.py
+++ b/packages/operator/ibisring_operator/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of summing up where callers lost."""
+"""Tests of the statistics of failed and late requests."""
 
 import json
 
@@ -13,14 +13,14 @@
     return loglines.Line(100.0 + seconds, source, event, request, facts)
 
 
-def _count(*lines, **span):
-    found = losses.make_losses(**span)
+def _count(*lines, **interval):
+    counted = losses.make_losses(**interval)
     for line in [_line(0.0, 'started', ''), *lines]:
-        found.take(line)
-    return losses.report(found)
+        counted.add_line(line)
+    return losses.report(counted)
 
 
-def _ends(figures):
+def _results(figures):
     return {
         (row['end'], row['cause']): row['requests'] for row in figures['ends']
     }
@@ -32,7 +32,7 @@
     )
 
 
-def test_what_made_requests_late_is_told_apart():
+def test_causes_of_late_requests_are_distinguished():
     figures = _count(
         _line(1.0, 'stages_lost', 'a', lost=['x']),
         _line(1.0, 'no_way_round', 'a', lost=['x']),
@@ -41,7 +41,7 @@
         _request(2.0, 'c', late='first'),
         _request(2.0, 'd'),
     )
-    assert _ends(figures) == {
+    assert _results(figures) == {
         ('late', 'pause: no other holder, stage lost'): 1,
         ('late', 'pause: no loss seen'): 1,
         ('late', 'first: no loss seen'): 1,
@@ -49,7 +49,7 @@
     }
 
 
-def test_refusals_name_the_layers_without_room():
+def test_refusals_list_the_layers_without_capacity():
     refused = dict(status=503, why='no endpoint has room')
     figures = _count(
         _request(1.0, 'a', 'overloaded', layers=['0-26 missing'], **refused),
@@ -57,7 +57,7 @@
         _line(1.0, 'endpoint_refused', 'c', culprit='x', status=503),
         _request(1.0, 'c', 'outcome_unknown', status=504, why='lost'),
     )
-    assert _ends(figures) == {
+    assert _results(figures) == {
         ('refused', 'overloaded: no endpoint has room'): 2,
         ('failed', 'outcome_unknown: lost'): 1,
     }
@@ -67,7 +67,7 @@
     assert figures['rejections'][0]['engine'] == 'x'
 
 
-def test_a_span_is_by_the_begin_of_requests_and_leaves_others_out():
+def test_only_requests_that_start_in_the_interval_are_counted():
     lines = [_request(s, f'r{s}') for s in (1.0, 5.05, 9.0)]
     figures = _count(*lines, since=2.0, until=5.0)
     assert figures['requests'] == 1
@@ -98,29 +98,29 @@
     }
 
 
-def test_what_is_held_stays_bounded():
-    """Symptom: the command takes all memory on a long log.
+def test_memory_is_bounded():
+    """Failure: the command uses up all memory on a long log.
 
-    Sequence: requests whose end is in another file are never forgotten.
-    Cause: their causes were kept until their end was read.
+    Causes are kept until the result of their request is read, which may be
+    in another file.
     """
-    found = losses.make_losses()
-    for number in range(losses.MOST_REQUESTS + 100):
-        found.take(_line(1.0, 'stages_lost', f'r{number}'))
-    assert len(found.causes) == losses.MOST_REQUESTS
+    counted = losses.make_losses()
+    for number in range(losses.MAX_REQUESTS + 100):
+        counted.add_line(_line(1.0, 'stages_lost', f'r{number}'))
+    assert len(counted.causes) == losses.MAX_REQUESTS
 
 
-def test_the_command_tells_damaged_lines_and_draws(tmp_path):
+def test_command_reports_damaged_lines_and_plots(tmp_path):
     log = tmp_path / 'vm-1.log'
     value = {'time': 5.0, 'event': 'request', 'id': 'a', 'outcome': 'answered'}
     log.write_text(json.dumps(value) + '\n{"time": 6.0, "ev\nplain text\n')
     picture = tmp_path / 'plot.svg'
     runner = testing.CliRunner()
     arguments = ['losses', str(log), '--plot', str(picture)]
-    found = runner.invoke(main.app, [*arguments, '--mark', '0:crash'])
-    assert found.exit_code == 0
-    assert '1 requests' in found.output
-    assert 'vm-1.log:2' in found.output
+    result = runner.invoke(main.app, [*arguments, '--mark', '0:crash'])
+    assert result.exit_code == 0
+    assert '1 requests' in result.output
+    assert 'vm-1.log:2' in result.output
     assert '0 crash' in picture.read_text()
     bad = runner.invoke(main.app, [*arguments, '--mark', 'x'])
     assert bad.exit_code == 2
--- a/packages/operator/ibisring_operator/tests/test_main.py
+++ b/packages/operator/ibisring_operator/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a real router."""
+"""Operators' command line against a real router."""
 
 import json
 
@@ -19,7 +19,7 @@
     router.stop()
 
 
-def run(router, *arguments):
+def run_command(router, *arguments):
     return RUNNER.invoke(
         main.app,
         [*arguments],
@@ -30,60 +30,64 @@
     )
 
 
-def write(path, **record):
+def write_record(path, **record):
     path.write_text(json.dumps(record))
     return str(path)
 
 
-def model(tmp_path, layers, **more):
-    return write(
+def write_model(tmp_path, layers, **fields):
+    return write_record(
         tmp_path / 'm.json',
         kind='model',
         name='nuevo',
         schema='v2',
         spec={'layers': layers},
-        **more,
+        **fields,
     )
 
 
 def test_submit_get_and_settle(router, tmp_path):
-    file = model(tmp_path, 7)
-    done = run(router, 'submit', file, '--id', 'mio', '--output', 'json')
+    file = write_model(tmp_path, 7)
+    done = run_command(
+        router, 'submit', file, '--id', 'mio', '--output', 'json'
+    )
     assert done.exit_code == 0
     (accepted,) = json.loads(done.output)
     (shown,) = json.loads(
-        run(router, 'get', 'model', 'nuevo', '--output', 'json').output
+        run_command(router, 'get', 'model', 'nuevo', '--output', 'json').output
     )
     assert shown['revision'] == accepted['revision']
     assert shown['spec'] == {'layers': 7}
-    settled = run(router, 'settle', 'mio', '--output', 'json')
+    settled = run_command(router, 'settle', 'mio', '--output', 'json')
     assert json.loads(settled.output) == [accepted]
 
 
 def test_conflict_names_both_revisions(router, tmp_path):
-    run(router, 'submit', model(tmp_path, 7))
-    refused = run(router, 'submit', model(tmp_path, 8, revision=1))
+    run_command(router, 'submit', write_model(tmp_path, 7))
+    refused = run_command(
+        router, 'submit', write_model(tmp_path, 8, revision=1)
+    )
     assert refused.exit_code == 3
     assert 'submitted_on: 1' in refused.output
     assert 'in_force: ' in refused.output
 
 
 def test_bad_record_names_the_field(router, tmp_path):
-    refused = run(router, 'submit', model(tmp_path, 'many'))
+    refused = run_command(router, 'submit', write_model(tmp_path, 'many'))
     assert refused.exit_code == 2
     assert 'layers' in refused.output
 
 
-def test_outage_is_not_accepted(site, router, tmp_path):
+def test_submission_during_an_outage_is_not_accepted(site, router, tmp_path):
     site.platform.table.faults = faults.PlatformFaults(down=True)
-    refused = run(router, 'submit', model(tmp_path, 9))
+    refused = run_command(router, 'submit', write_model(tmp_path, 9))
     site.platform.table.faults = faults.PlatformFaults()
     assert refused.exit_code == 4
     assert 'not_accepted' in refused.output
 
 
 def test_v1_view_of_an_endpoint(router):
-    shown = run(
+    shown = run_command(
         router,
         'get',
         'endpoint',
@@ -98,14 +102,14 @@
     assert record['spec']['url'].startswith('http://')
 
 
-def test_watch_says_who_is_behind_or_unreachable(site, router):
-    looked = run(router, 'watch', '--once', '--output', 'json')
-    assert looked.exit_code == 0
-    assert json.loads(looked.output)[0]['state'] == 'in force'
+def test_watch_shows_the_state_of_routers(site, router):
+    watched = run_command(router, 'watch', '--once', '--output', 'json')
+    assert watched.exit_code == 0
+    assert json.loads(watched.output)[0]['state'] == 'in force'
 
 
 def test_burn_report_after_a_fault(site, router):
-    """The report must show a fault, and say what it could not reach."""
+    """The report must show a fault and list what could not be reached."""
     for service in site.services.values():
         service.faults = faults.ServiceFaults(fail=1)
     statuses = [
@@ -114,7 +118,7 @@
     ]
     good = statuses.count(200)
     report = json.loads(
-        run(router, 'report', 'burn', '--format', 'json').output
+        run_command(router, 'report', 'burn', '--format', 'json').output
     )
     (row,) = [
         r
@@ -123,16 +127,16 @@
     ]
     assert (row['total'], row['good']) == (4, good)
     assert row['burn'] > 1
-    page = run(router, 'report', 'burn', '--format', 'html').output
+    page = run_command(router, 'report', 'burn', '--format', 'html').output
     assert page.count('<svg') == 3
     site.platform.objects.faults = faults.PlatformFaults(down=True)
-    shown = run(router, 'report', 'burn').output
+    shown = run_command(router, 'report', 'burn').output
     site.platform.objects.faults = faults.PlatformFaults()
     assert 'not reached: ten minutes from' in shown
     assert 'not reached: everything before' in shown
 
 
-def test_tallies_outlive_their_process(site, router):
+def test_tallies_remain_after_their_process_exits(site, router):
     builders.post(router, '/v1/services/etiquetado', {'lote': 2})
     other = builders.start_router(site, router_id='router-7')
     builders.post(other, '/v1/services/etiquetado', {'lote': 3})
--- a/packages/operator/ibisring_operator/tests/test_tracing.py
+++ b/packages/operator/ibisring_operator/tests/test_tracing.py
@@ -1,4 +1,4 @@
-"""Tests of following a request through logs."""
+"""Tests of tracing a request through logs."""
 
 from typer import testing
 
@@ -21,7 +21,7 @@
     return list(reader.parse(name, content.splitlines()))
 
 
-def test_a_request_and_what_was_believed_around_it():
+def test_trace_has_the_request_and_state_changes_around_it():
     lines = _read('vm-1', FIRST) + _read('b', SECOND)
     found = tracing.trace(lines, 'r1')
     assert [line.event for line in found] == [
@@ -39,20 +39,20 @@
 '''
 
 
-def test_a_refused_request_shows_which_ends_speak_against_it():
-    """Failure: why it was not sent on lies minutes back, at another VM."""
+def test_trace_of_a_refused_request_shows_the_crashes_behind_it():
+    """Failure: the trace lacks crashes minutes earlier at another VM."""
     lines = _read('vm-1', SUSPECTED)
-    elsewhere = '{"time": 2.0, "event": "suspect", "digest": "d1", "ends": 2}'
-    lines += _read('vm-2', elsewhere)
+    other_vm = '{"time": 2.0, "event": "suspect", "digest": "d1", "ends": 2}'
+    lines += _read('vm-2', other_vm)
     found = tracing.trace(lines, 'r1')
     assert [line.time for line in found] == [1.0, 2.0, 60.0]
 
 
-def test_an_unknown_request_has_no_lines():
+def test_trace_of_an_unknown_request_is_empty():
     assert tracing.trace(_read('vm-1', FIRST), 'none') == []
 
 
-def test_the_command(tmp_path):
+def test_trace_command(tmp_path):
     path = tmp_path / 'vm-1.log'
     path.write_text(FIRST)
     runner = testing.CliRunner()
@@ -62,5 +62,5 @@
     missing = runner.invoke(main.app, ['trace', 'none', str(path)])
     assert missing.exit_code == 4
     assert 'none' in missing.output
-    nowhere = runner.invoke(main.app, ['trace', 'r1', str(path) + 'x'])
-    assert nowhere.exit_code == 2
+    unreadable = runner.invoke(main.app, ['trace', 'r1', str(path) + 'x'])
+    assert unreadable.exit_code == 2
--- a/packages/operator/ibisring_operator/tracing.py
+++ b/packages/operator/ibisring_operator/tracing.py
@@ -1,13 +1,14 @@
-"""Following a request through the logs of several VMs."""
+"""Trace of a request through the logs of several VMs."""
 
 __all__ = ['trace', 'text']
 
 import json
 
-# Seconds around a request within which changes of belief are shown.
-AROUND = 2.0
-# Events that change what a router believes; they carry no request id.
-BELIEFS = frozenset(
+# Changes of a router's state are shown from this long before a request.
+CONTEXT_SECONDS = 2.0
+# Events that change a router's view of endpoints and store; they have no
+# request id.
+STATE_EVENTS = frozenset(
     (
         'asked_again',
         'ending',
@@ -21,12 +22,12 @@
         'table_in_force',
     )
 )
-# An endpoint has ended under a request, perhaps under another attempt of it.
-SUSPECT = 'suspect'
+# An endpoint crashed while it ran a request, possibly in another attempt.
+SUSPECT_EVENT = 'suspect'
 
 
 def trace(lines, request):
-    """Give a request's lines and the changes of belief around them.
+    """Return a request's lines and the changes of router state around them.
 
     Parameters
     ----------
@@ -36,42 +37,47 @@
     Returns
     -------
     list of loglines.Line
-        By time.  Empty if no line names the request.  Beliefs are those of
-        the VMs that served it, from `AROUND` seconds before its first line
-        to its last.  What was found out about it by its digest is shown
-        whenever and wherever that was.
+        By time.  Empty if no line has the request's id.  Changes of state
+        are those of the VMs that served it, from `CONTEXT_SECONDS` before
+        its start to its last line.  Crashes recorded under its digest are
+        shown from all VMs, however long before.
     """
-    own = [line for line in lines if line.request == request]
-    if not own:
+    request_lines = [line for line in lines if line.request == request]
+    if not request_lines:
         return []
-    sources = {line.source for line in own}
-    begin = min(line.time - _seconds(line) for line in own) - AROUND
-    end = max(line.time for line in own)
-    around = [
+    sources = {line.source for line in request_lines}
+    start = (
+        min(line.time - _elapsed_seconds(line) for line in request_lines)
+        - CONTEXT_SECONDS
+    )
+    end = max(line.time for line in request_lines)
+    state_changes = [
         line
         for line in lines
-        if line.event in BELIEFS
+        if line.event in STATE_EVENTS
         and line.source in sources
-        and begin <= line.time <= end
+        and start <= line.time <= end
     ]
-    digests = {line.facts.get('digest') for line in own} - {None}
+    digests = {line.facts.get('digest') for line in request_lines} - {None}
     suspected = [
         line
         for line in lines
-        if line.event == SUSPECT
+        if line.event == SUSPECT_EVENT
         and line.facts.get('digest') in digests
         and line.time <= end
     ]
-    return sorted(own + around + suspected, key=lambda line: line.time)
+    return sorted(
+        request_lines + state_changes + suspected, key=lambda line: line.time
+    )
 
 
-def _seconds(line):
-    """Give how long a request had run when its line was written."""
+def _elapsed_seconds(line):
+    """Return how long a request had run when the line was written."""
     return float(line.facts.get('ms', 0.0)) / 1000.0
 
 
 def text(lines):
-    """Write lines for people."""
+    """Return lines in human-readable form."""
     rows = []
     for line in lines:
         facts = ' '.join(
