--- a/packages/operator/ibisring_operator/loglines.py
+++ b/packages/operator/ibisring_operator/loglines.py
@@ -96,10 +96,10 @@
         event = str(value['event'])
     except (ValueError, KeyError, TypeError):
         return None
-    before = match['before'].split()
+    prefix_words = match['before'].split()
     return Line(
         time,
-        before[-1] if before else name,
+        prefix_words[-1] if prefix_words else name,
         event,
         str(value.get('id', '')),
         {k: v for k, v in value.items() if k not in _NON_FACTS},
--- a/packages/operator/ibisring_operator/main.py
+++ b/packages/operator/ibisring_operator/main.py
@@ -80,7 +80,7 @@
 
 
 def _read_records(files):
-    found = []
+    submitted = []
     for file in files:
         try:
             raw = json.loads(file.read_text())
@@ -89,10 +89,10 @@
         if isinstance(raw, dict):
             raw = [raw]
         try:
-            found.extend(msgspec.convert(raw, list[records.Submitted]))
+            submitted.extend(msgspec.convert(raw, list[records.Submitted]))
         except msgspec.ValidationError as error:
             raise exceptions.InvalidRecord(f'{file}: {error}') from error
-    return found
+    return submitted
 
 
 @app.command()
@@ -211,10 +211,10 @@
 def trace(request: str, logs: list[pathlib.Path]):
     """Show the lines of a request from the logs of one or more VMs."""
     lines = list(_read_lines(logs))
-    found = tracing.trace(lines, request)
-    if not found:
+    traced = tracing.trace(lines, request)
+    if not traced:
         exit_with_error(exceptions.NotFound(f'no lines of request {request}'))
-    typer.echo(tracing.text(found))
+    typer.echo(tracing.text(traced))
 
 
 def _read_lines(logs):
--- a/packages/operator/ibisring_operator/tests/test_tracing.py
+++ b/packages/operator/ibisring_operator/tests/test_tracing.py
@@ -23,13 +23,13 @@
 
 def test_trace_has_the_request_and_state_changes_around_it():
     lines = _read('vm-1', FIRST) + _read('b', SECOND)
-    found = tracing.trace(lines, 'r1')
-    assert [line.event for line in found] == [
+    traced = tracing.trace(lines, 'r1')
+    assert [line.event for line in traced] == [
         'store_lost',
         'attempt_ended',
         'request',
     ]
-    assert {line.source for line in found} == {'vm-1'}
+    assert {line.source for line in traced} == {'vm-1'}
 
 
 SUSPECTED = '''{"time": 1.0, "event": "suspect", "digest": "d1", "ends": 1}
@@ -44,8 +44,8 @@
     lines = _read('vm-1', SUSPECTED)
     other_vm = '{"time": 2.0, "event": "suspect", "digest": "d1", "ends": 2}'
     lines += _read('vm-2', other_vm)
-    found = tracing.trace(lines, 'r1')
-    assert [line.time for line in found] == [1.0, 2.0, 60.0]
+    traced = tracing.trace(lines, 'r1')
+    assert [line.time for line in traced] == [1.0, 2.0, 60.0]
 
 
 def test_trace_of_an_unknown_request_is_empty():
@@ -56,9 +56,9 @@
     path = tmp_path / 'vm-1.log'
     path.write_text(FIRST)
     runner = testing.CliRunner()
-    found = runner.invoke(main.app, ['trace', 'r1', str(path)])
-    assert found.exit_code == 0
-    assert 'attempt_ended end="lost"' in found.output
+    shown = runner.invoke(main.app, ['trace', 'r1', str(path)])
+    assert shown.exit_code == 0
+    assert 'attempt_ended end="lost"' in shown.output
     missing = runner.invoke(main.app, ['trace', 'none', str(path)])
     assert missing.exit_code == 4
     assert 'none' in missing.output
--- a/packages/router/ibisring_router/burnperiods.py
+++ b/packages/router/ibisring_router/burnperiods.py
@@ -95,18 +95,20 @@
             names = self.store.names(f'{_PART_PREFIX}/{period}/')
         except exceptions.IbisringError as error:
             return PeriodTallies([], [_describe_unreached(period, error)])
-        wanted = [
+        selected = [
             name for name in names if name != _part_name(period, skip_instance)
         ]
         tallies = PeriodTallies([], [])
         with concurrent.futures.ThreadPoolExecutor(READER_THREADS) as pool:
-            for name, read in zip(
-                wanted, pool.map(self._get_or_error, wanted)
+            for name, result in zip(
+                selected, pool.map(self._get_or_error, selected)
             ):
-                if isinstance(read, exceptions.IbisringError):
-                    tallies.unreached.append(_describe_unreached(period, read))
-                elif read is not None:
-                    tallies.parts.append(msgspec.convert(read, Minutes))
+                if isinstance(result, exceptions.IbisringError):
+                    tallies.unreached.append(
+                        _describe_unreached(period, result)
+                    )
+                elif result is not None:
+                    tallies.parts.append(msgspec.convert(result, Minutes))
         return tallies
 
     def _get_or_error(self, name):
--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -262,9 +262,9 @@
             call.id,
             lambda is_gone: iter([self.services.run(call, is_gone)]),
         )
-        (answer,) = parts
+        (result,) = parts
         return routes.json_response(
-            answer.body, headers=self._response_headers(call.id)
+            result.body, headers=self._response_headers(call.id)
         )
 
     # Health
--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -221,7 +221,7 @@
 
     def _voter_addresses(self):
         """Return the addresses of all members by id, or None if unknown."""
-        members = self.peering.read(lambda known: known.addresses())
+        members = self.peering.read(lambda m: m.addresses())
         if members is None:
             return None
         members[self.settings.router_id] = self.settings.advertise
--- a/packages/router/ibisring_router/tests/test_golden.py
+++ b/packages/router/ibisring_router/tests/test_golden.py
@@ -31,7 +31,7 @@
 
 
 def exchange(router, account, path, body, **headers):
-    answer = builders.post(router, path, body, account=account, **headers)
+    response = builders.post(router, path, body, account=account, **headers)
     return {
         'sent': {
             'path': path,
@@ -40,13 +40,13 @@
             'body': body,
         },
         'got': {
-            'status': answer.status,
+            'status': response.status,
             'headers': {
-                name: answer.headers[name]
+                name: response.headers[name]
                 for name in RECORDED_HEADERS
-                if name in answer.headers
+                if name in response.headers
             },
-            'body': normalize(answer.data.decode()).split('\n'),
+            'body': normalize(response.data.decode()).split('\n'),
         },
     }
 
--- a/packages/router/ibisring_router/tests/test_path.py
+++ b/packages/router/ibisring_router/tests/test_path.py
@@ -30,13 +30,13 @@
 
 
 def test_completion_is_complete_and_correct(client):
-    answer = client.completions.create(
+    response = client.completions.create(
         model=MODEL, prompt='sopa de ajo', max_tokens=9
     )
     expected = engine.expected_tokens('sopa de ajo', deployments.LAYERS, 9)
-    assert answer.choices[0].text == ''.join(expected)
-    assert answer.choices[0].finish_reason == 'length'
-    assert answer.usage.completion_tokens == 9
+    assert response.choices[0].text == ''.join(expected)
+    assert response.choices[0].finish_reason == 'length'
+    assert response.usage.completion_tokens == 9
 
 
 def test_streamed_chat_ends_with_a_finish_reason(client):
--- a/packages/router/ibisring_router/tests/test_processes.py
+++ b/packages/router/ibisring_router/tests/test_processes.py
@@ -196,7 +196,7 @@
 
     The network between a router and its peers fails, but it still reaches
     callers, endpoints and the platform.  A caller repeats its alert there;
-    what other routers did must be known without the peers.
+    what the other routers did has to reach it without the peers.
     """
     connected, _, cut_off = partitioned_fleet
     wait_until(lambda: all_held_by(site, {r.id for r in partitioned_fleet}))
--- a/packages/router/ibisring_router/tests/test_settings.py
+++ b/packages/router/ibisring_router/tests/test_settings.py
@@ -65,15 +65,18 @@
     before = _non_daemon_threads()
     with socket.create_server(('127.0.0.1', 0)) as taken:
         address = f'127.0.0.1:{taken.getsockname()[1]}'
-        given = ['--control-listen=127.0.0.1:0', '--caller-listen=127.0.0.1:0']
-        result = RUNNER.invoke(main.app, [*given, f'{flag}={address}'])
+        arguments = [
+            '--control-listen=127.0.0.1:0',
+            '--caller-listen=127.0.0.1:0',
+        ]
+        result = RUNNER.invoke(main.app, [*arguments, f'{flag}={address}'])
     assert result.exit_code == 2
     assert flag in result.output
     assert _non_daemon_threads() <= before
 
 
 def _non_daemon_threads():
-    return {each for each in threading.enumerate() if not each.daemon}
+    return {thread for thread in threading.enumerate() if not thread.daemon}
 
 
 def test_every_setting_has_a_flag():
