--- a/packages/records/ibisring_records/exceptions.py
+++ b/packages/records/ibisring_records/exceptions.py
@@ -1,8 +1,8 @@
-"""Errors of ibisring: one base class, stable codes, a remedy in each.
+"""Error classes of ibisring, with stable codes and remedies.
 
 Every error that can reach a caller or an operator is a subclass of
-`IbisringError`.  Its `code` never changes once released, its `outcome` says
-whether the request ran, and its message ends with what to do about it.
+`IbisringError`.  Its `code` never changes once released, its `outcome` states
+whether the request ran, and its message ends with a remedy.
 """
 
 __all__ = [
@@ -15,7 +15,7 @@
     'Unauthorized',
     'Forbidden',
     'NotFound',
-    'KeyReused',
+    'IdempotencyKeyReused',
     'NotReady',
     'NoEndpoint',
     'Overloaded',
@@ -25,7 +25,7 @@
     'CallerGone',
     'EndpointRefused',
     'EndpointFailed',
-    'EndsEndpoints',
+    'CrashingRequest',
     'OutcomeUnknown',
     'Interrupted',
     'Conflict',
@@ -52,17 +52,17 @@
 
 
 class IbisringError(Exception):
-    """Base of all errors.
+    """Base class of all errors.
 
     Parameters
     ----------
     detail : str
-        What happened, as one sentence without a full stop.
+        Description of the error: one sentence without a full stop.
     retry_after : float or None
-        Seconds after which another try is worth making.
+        Seconds after which a retry may succeed.
     **facts
-        Values that a program may want, such as revisions; they travel with
-        the error over HTTP.
+        Machine-readable details, such as revisions; they are part of the
+        error's HTTP response.
 
     Examples
     --------
@@ -75,8 +75,8 @@
     status = 500
     outcome = Outcome.UNKNOWN
     remedy = 'report this with the request id'
-    # The family that the stock OpenAI clients read from `error.type`.
-    family = 'server_error'
+    # Sent as `error.type`, which the official OpenAI clients read.
+    error_type = 'server_error'
 
     def __init__(self, detail, retry_after=None, **facts):
         super().__init__(f'{detail}; {self.remedy}')
@@ -89,7 +89,7 @@
     code = 'invalid_request'
     status = 400
     outcome = Outcome.NOT_RUN
-    family = 'invalid_request_error'
+    error_type = 'invalid_request_error'
     remedy = 'correct the named field and send the request again'
 
 
@@ -114,7 +114,7 @@
     code = 'unauthorized'
     status = 401
     outcome = Outcome.NOT_RUN
-    family = 'authentication_error'
+    error_type = 'authentication_error'
     remedy = 'send a valid key as "Authorization: Bearer KEY"'
 
 
@@ -122,7 +122,7 @@
     code = 'forbidden'
     status = 403
     outcome = Outcome.NOT_RUN
-    family = 'permission_error'
+    error_type = 'permission_error'
     remedy = 'ask an operator to widen the account'
 
 
@@ -130,15 +130,15 @@
     code = 'not_found'
     status = 404
     outcome = Outcome.NOT_RUN
-    family = 'invalid_request_error'
+    error_type = 'invalid_request_error'
     remedy = 'list what exists with GET /v1/models or "ibisring get"'
 
 
-class KeyReused(IbisringError):
+class IdempotencyKeyReused(IbisringError):
     code = 'idempotency_key_reused'
     status = 422
     outcome = Outcome.NOT_RUN
-    family = 'invalid_request_error'
+    error_type = 'invalid_request_error'
     remedy = 'use a new Idempotency-Key for a different body'
 
 
@@ -167,7 +167,7 @@
     code = 'account_limited'
     status = 429
     outcome = Outcome.NOT_RUN
-    family = 'rate_limit_error'
+    error_type = 'rate_limit_error'
     remedy = 'retry after the time given, or have the limit raised'
 
 
@@ -193,7 +193,7 @@
 
 
 class EndpointRefused(IbisringError):
-    """The endpoint itself said that it did not begin."""
+    """The endpoint reported that it did not start the request."""
 
     code = 'endpoint_refused'
     status = 503
@@ -202,7 +202,7 @@
 
 
 class EndpointFailed(IbisringError):
-    """The endpoint ran the request and reports its failure."""
+    """The endpoint ran the request and reported that it failed."""
 
     code = 'endpoint_failed'
     status = 502
@@ -210,8 +210,8 @@
     remedy = 'look at the endpoint error; a repeat is a new run'
 
 
-class EndsEndpoints(IbisringError):
-    """Endpoints have ended under this request, so none gets it."""
+class CrashingRequest(IbisringError):
+    """Endpoints crashed on this request, so it is not sent to others."""
 
     code = 'ends_endpoints'
     status = 503
@@ -223,7 +223,7 @@
 
 
 class OutcomeUnknown(IbisringError):
-    """The request may have run and nobody can say."""
+    """The request may have run, and its outcome can't be determined."""
 
     code = 'outcome_unknown'
     status = 504
@@ -232,7 +232,7 @@
 
 
 class Interrupted(IbisringError):
-    """An idempotent request was cut and could not be resumed in time."""
+    """An idempotent request broke off and was not resumed in time."""
 
     code = 'interrupted'
     status = 504
@@ -244,12 +244,12 @@
     code = 'conflict'
     status = 409
     outcome = Outcome.NOT_RUN
-    family = 'conflict_error'
+    error_type = 'conflict_error'
     remedy = 'read the record in force, merge, and submit with its revision'
 
 
 class NotAccepted(IbisringError):
-    """A submission was certainly not written."""
+    """A submission was definitely not written."""
 
     code = 'not_accepted'
     status = 503
@@ -266,7 +266,7 @@
 
 
 class PlatformUnavailable(IbisringError):
-    """A platform service certainly did not act."""
+    """A platform service definitely did not execute the call."""
 
     code = 'platform_unavailable'
     status = 503
@@ -275,14 +275,14 @@
 
 
 class StoreBudgetSpent(PlatformUnavailable):
-    """The table service was not called, to keep its load within bounds."""
+    """The table service was not called: the call budget is used up."""
 
     code = 'store_budget_spent'
     remedy = 'try again in a second, or raise --table-reads or --table-writes'
 
 
 class PlatformAnswerLost(IbisringError):
-    """A platform service may have acted; its answer was lost."""
+    """A platform service may have executed the call; no response came."""
 
     code = 'platform_answer_lost'
     status = 504
@@ -304,34 +304,34 @@
 
 
 class MalformedMessage(IbisringError):
-    """Another process of this project sent what can't be read."""
+    """Another ibisring process sent a message that can't be decoded."""
 
     code = 'malformed_message'
     remedy = 'run releases that are at most one apart'
 
 
 def _all_subclasses(cls):
-    for sub in cls.__subclasses__():
-        yield sub
-        yield from _all_subclasses(sub)
+    for subclass in cls.__subclasses__():
+        yield subclass
+        yield from _all_subclasses(subclass)
 
 
 def error_from_code(code, detail, retry_after=None, facts=None):
-    """Rebuild the typed error that another process sent.
+    """Recreate the typed error that another process sent.
 
     Parameters
     ----------
     code : str
         A stable error code.
     detail : str
-        The sentence that came with it.
+        The detail that came with the code.
     retry_after : float or None
     facts : dict or None
 
     Returns
     -------
     IbisringError
-        Of the class with that code, or of the base class if none has it.
+        Of the class with that code, or of the base class if there is none.
 
     Examples
     --------
--- a/packages/records/ibisring_records/submitting.py
+++ b/packages/records/ibisring_records/submitting.py
@@ -1,12 +1,12 @@
-"""Turning a submission into one transaction: pure, without I/O.
+"""Turns a submission into one transaction; pure, without I/O.
 
-The accepting router reads the rows named by `rows_to_read`, calls `prepare`
-with what it read, and commits the result with the table service's
-compare-and-set.  Every write carries the submission's id, so a commit whose
-answer was lost is settled by reading ``submissions/ID``.
+The accepting router reads the rows named by `rows_to_read`, calls
+`make_change` with what it read, and commits the result with the table
+service's compare-and-set.  Every write carries the submission's id, so a
+commit whose answer was lost is settled by reading ``submissions/ID``.
 """
 
-__all__ = ['rows_to_read', 'check', 'prepare', 'writes']
+__all__ = ['rows_to_read', 'check_submission', 'make_change', 'rows_to_write']
 
 import msgspec
 
@@ -17,15 +17,15 @@
 
 
 def rows_to_read(submission):
-    """Give the keys that `prepare` needs, the head row first."""
+    """Return the keys that `make_change` needs, the head row first."""
     keys = [records.HEAD_KEY, records.submission_key(submission.id)]
     for record in submission.records:
         keys.append(records.record_key(record.kind, record.name))
     return keys
 
 
-def check(submission):
-    """Refuse a submission that is wrong in itself.
+def check_submission(submission):
+    """Reject a submission that is invalid regardless of stored records.
 
     Raises
     ------
@@ -46,12 +46,12 @@
 
 
 def _merge(record, current, revision, submission_id):
-    found = current.revision if current is not None else 0
-    if record.revision is not None and record.revision != found:
+    current_revision = current.revision if current is not None else 0
+    if record.revision is not None and record.revision != current_revision:
         raise exceptions.Conflict(
-            f'{record.kind}/{record.name} is at revision {found},'
+            f'{record.kind}/{record.name} is at revision {current_revision},'
             f' the submission was made on revision {record.revision}',
-            in_force=found,
+            in_force=current_revision,
             submitted_on=record.revision,
         )
     schema, spec = record.schema, record.spec
@@ -71,25 +71,25 @@
     )
 
 
-def prepare(submission, rows):
-    """Make the change for a submission.
+def make_change(submission, rows):
+    """Make the change that applies a submission.
 
     Parameters
     ----------
     submission : records.Submission
     rows : dict of str to dict
-        Values now kept under the keys of `rows_to_read`; absent if none.
+        Current values of the keys of `rows_to_read`; absent if none.
 
     Returns
     -------
     records.Change
-        Its revision is one above the head's.
+        Its revision is the head's plus one.
 
     Raises
     ------
     InvalidRecord, Conflict
     """
-    check(submission)
+    check_submission(submission)
     head = rows.get(records.HEAD_KEY)
     revision = msgspec.convert(head, records.Head).revision if head else 0
     revision += 1
@@ -101,8 +101,8 @@
     return records.Change(revision, submission.id, changed)
 
 
-def writes(change):
-    """Give the rows that keep a change, by table key.
+def rows_to_write(change):
+    """Return the rows that store a change, by table key.
 
     Parameters
     ----------
--- a/packages/router/ibisring_router/controlapi.py
+++ b/packages/router/ibisring_router/controlapi.py
@@ -114,7 +114,7 @@
 
     def settle(self, request, submission_id):
         self._check_operator(request)
-        accepted = self.keeper.settle(submission_id)
+        accepted = self.keeper.find_accepted(submission_id)
         if accepted is None:
             raise exceptions.NotFound(
                 f'submission {submission_id} was not accepted'
@@ -213,7 +213,7 @@
     def peer_release(self, request):
         self._check_peer(request)
         release_request = routes.read_body(request, claiming.ReleaseRequest)
-        self.claims.release_here(release_request)
+        self.claims.release_local(release_request)
         return routes.json_response({})
 
     def peer_answer(self, request, key):
@@ -243,7 +243,7 @@
         stored.revision,
     )
     try:
-        converted = conversion.view_spec(
+        converted = conversion.convert_spec(
             stored.kind, stored.schema, stored.spec, schema
         )
     except exceptions.InvalidRecord as error:
--- a/packages/router/ibisring_router/tests/fakes.py
+++ b/packages/router/ibisring_router/tests/fakes.py
@@ -10,12 +10,12 @@
 from ibisring_policy import dispatch
 from ibisring_policy import retries
 from ibisring_records import exceptions
-from ibisring_router import endings
+from ibisring_router import attempterrors
 from ibisring_router import engineclient
 from ibisring_router import generating
 from ibisring_router import metrics
 from ibisring_standins import engine
-from ibisring_standins import head
+from ibisring_standins import firststage
 
 SEED = 7
 
@@ -92,7 +92,7 @@
         }
         self.channel = FaultyEngines(self.engines, self.clock)
         self.metrics = metrics.make_metrics()
-        self.runner = generating.Runner(
+        self.runner = generating.GenerationRunner(
             DirectPlacement(self.dispatcher, self.clock),
             self.channel,
             self.metrics,
@@ -108,7 +108,9 @@
     def __init__(self, order, transport):
         self.events = []
         self.cancelled = False
-        self.source = head.run(order, transport, lambda: self.cancelled)
+        self.source = firststage.generate(
+            order, transport, lambda: self.cancelled
+        )
 
     def event(self, index):
         """Return an event by index, or None past the end."""
@@ -120,13 +122,13 @@
         return self.events[index]
 
 
-class _DirectTransport(head.Transport):
+class _DirectTransport(firststage.Transport):
     def __init__(self, channel):
         self.channel = channel
 
     def _engine(self, stage):
         if stage.endpoint in self.channel.dead:
-            raise head.StageLost(stage.endpoint, 'dead')
+            raise firststage.StageLost(stage.endpoint, 'dead')
         return self.channel.engines[stage.endpoint]
 
     def begin(self, stage, begin):
@@ -134,7 +136,7 @@
         try:
             return stage_engine.begin(begin)
         except exceptions.PlanInvalid as error:
-            raise head.StageLost(stage.endpoint, str(error)) from error
+            raise firststage.StageLost(stage.endpoint, str(error)) from error
 
     def step(self, stage, step):
         stage_engine = self._engine(stage)
@@ -142,7 +144,7 @@
         try:
             return stage_engine.step(step)
         except exceptions.IbisringError as error:
-            raise head.StageLost(stage.endpoint, str(error)) from error
+            raise firststage.StageLost(stage.endpoint, str(error)) from error
 
 
 class FaultyEngines(engineclient.EngineClient):
@@ -178,7 +180,7 @@
 
     def _fail(self, failure, fault):
         self.applied[fault] += 1
-        raise endings.AttemptFailed(failure, str(fault))
+        raise attempterrors.AttemptFailed(failure, str(fault))
 
     def _check_first_stage(self, order):
         if order.stages[0].endpoint in self.dead:
--- a/packages/router/ibisring_router/tests/test_failures.py
+++ b/packages/router/ibisring_router/tests/test_failures.py
@@ -258,10 +258,10 @@
             b'Content-Length: %d\r\n\r\n' % len(body) + body
         )
         assert sock.recv(64)
-    assert router.gate.wait_until_empty(10)
+    assert router.limiter.wait_until_empty(10)
     cancelled = threading.Event()
     while not cancelled.wait(0.01):
-        if sum(s.cancelled for s in site.engines.values()):
+        if sum(s.cancelled_count for s in site.engines.values()):
             cancelled.set()
     running = router.placement.inspect(lambda d: len(d.running))
     assert running == 0
@@ -273,15 +273,15 @@
     Slow streams occupy all threads for callers; some threads have to be
     reserved for urgent requests.
     """
-    normal_threads = router.gate.threads - router.gate.urgent
+    normal_threads = router.limiter.threads - router.limiter.urgent
     for _ in range(normal_threads):
-        router.gate.enter(is_urgent=False)
+        router.limiter.acquire(is_urgent=False)
     try:
         refused = post_completion(router)
         urgent = builders.post(router, SERVICE, {'lote': 3})
     finally:
         for _ in range(normal_threads):
-            router.gate.leave()
+            router.limiter.release()
     assert refused.json()['error']['code'] == 'overloaded'
     assert refused.json()['error']['outcome'] == 'not_run'
     assert refused.headers['Retry-After']
--- a/packages/router/ibisring_router/tests/test_processes.py
+++ b/packages/router/ibisring_router/tests/test_processes.py
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def site():
-    site = builders.small_site(speed=engineserver.Speed(step=0.005))
+    site = builders.small_site(speed=engineserver.Speed(step_seconds=0.005))
     yield site
     site.stop()
 
@@ -88,7 +88,7 @@
 
 def all_held_by(site, router_ids):
     rows = lease_rows(site)
-    return len(rows) == reconciling.SHARES and all(
+    return len(rows) == reconciling.SHARE_COUNT and all(
         row.holder in router_ids for row in rows.values()
     )
 
@@ -163,7 +163,7 @@
         lambda: all(s.engine.status.loaded for s in site.engines.values())
     )
     for name, server in site.engines.items():
-        share = leases.share_of(name, reconciling.SHARES)
+        share = leases.share_of(name, reconciling.SHARE_COUNT)
         row = before[reconciling._row_key(share)]
         assert server.engine.status.fencing >= row.fencing
 
