--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -208,9 +208,7 @@
                 if serving.caller_is_gone(request.environ):
                     break
         tokens.close()
-        raise exceptions.Interrupted(
-            'the caller closed the connection before the response ended'
-        )
+        raise exceptions.Interrupted('the caller left before the end')
 
     def _stream_response(self, tokens, formatter):
         # The first part is awaited before the status is sent, so that a
--- a/packages/router/ibisring_router/controlapi.py
+++ b/packages/router/ibisring_router/controlapi.py
@@ -93,10 +93,8 @@
             if name is not None:
                 if configuration.accounts[name].operator:
                     return
-                raise exceptions.Forbidden(
-                    f'account {name} is not an operator'
-                )
-        raise exceptions.Unauthorized('not an operator key')
+                raise exceptions.Forbidden(f'account {name} is no operator')
+        raise exceptions.Unauthorized('this is no operator key')
 
     def _check_peer(self, request):
         peerkeys.check_peer(request, self.peer_keys)
@@ -197,7 +195,7 @@
         since = request.args.get('since', -1, type=int)
         changes = self.keeper.changes_since(since)
         if changes is None or since < 0:
-            raise exceptions.NotFound(f'no changes since revision {since}')
+            raise exceptions.NotFound(f'changes since {since}')
         return routes.json_response(recordkeeping.ChangeList(changes))
 
     def peer_snapshot(self, request):
@@ -234,7 +232,7 @@
 def _record_view(stored, schema):
     """Return a record as stored, or converted to the schema if given."""
     if schema not in ('', 'v1', schemas.LATEST_SCHEMA):
-        raise exceptions.InvalidRequest(f'unknown schema {schema!r}')
+        raise exceptions.InvalidRequest(f'no schema {schema!r}')
     view = RecordView(
         stored.kind,
         stored.name,
--- a/packages/router/ibisring_router/peerkeys.py
+++ b/packages/router/ibisring_router/peerkeys.py
@@ -55,4 +55,4 @@
     received = routes.bearer_key(request).encode()
     matches = [hmac.compare_digest(received, key.encode()) for key in keys]
     if not any(matches):
-        raise exceptions.Unauthorized('not a peer key')
+        raise exceptions.Unauthorized('this is no key of a peer')
--- a/packages/router/ibisring_router/requests.py
+++ b/packages/router/ibisring_router/requests.py
@@ -135,7 +135,7 @@
     needed = len(prompt.split()) + max_tokens
     if needed > model.context_tokens:
         raise exceptions.InvalidRequest(
-            f'prompt and max_tokens need {needed} tokens of context, but the '
+            f'prompt and max_tokens need {needed} tokens of context, the '
             f'model has {model.context_tokens}'
         )
 
@@ -146,7 +146,7 @@
         return default
     if not text.isdigit() or int(text) < 1:
         raise exceptions.InvalidRequest(
-            f'{DEADLINE_HEADER} must be an integer above 0 (milliseconds)'
+            f'{DEADLINE_HEADER} must be whole milliseconds above 0'
         )
     return int(text)
 
@@ -197,7 +197,7 @@
     key = headers.get(KEY_HEADER, '')
     if len(key) > MAX_KEY_CHARACTERS:
         raise exceptions.InvalidRequest(
-            f'{KEY_HEADER} is longer than {MAX_KEY_CHARACTERS} characters'
+            f'{KEY_HEADER} is over {MAX_KEY_CHARACTERS} characters'
         )
     return Terms(
         account=account,
