--- a/packages/router/ibisring_router/callerapi.py
+++ b/packages/router/ibisring_router/callerapi.py
@@ -208,9 +208,7 @@
                 if serving.caller_is_gone(request.environ):
                     break
         tokens.close()
-        raise exceptions.Interrupted(
-            'the caller closed the connection before the response ended'
-        )
+        raise exceptions.Interrupted('the caller left before the end')
 
     def _stream_response(self, tokens, formatter):
         # The first part is awaited before the status is sent, so that a
@@ -262,9 +260,9 @@
             call.id,
             lambda is_gone: iter([self.services.run(call, is_gone)]),
         )
-        (answer,) = parts
+        (result,) = parts
         return routes.json_response(
-            answer.body, headers=self._response_headers(call.id)
+            result.body, headers=self._response_headers(call.id)
         )
 
     # Health
