--- a/packages/router/ibisring_router/claiming.py
+++ b/packages/router/ibisring_router/claiming.py
@@ -1,4 +1,4 @@
-"""Claims to a key, as asked of the table service and of peers."""
+"""Claims to idempotency keys, made at the table service and at peers."""
 
 __all__ = [
     'VoteRequest',
@@ -8,7 +8,7 @@
     'ClaimActor',
     'Claims',
     'HeldElsewhere',
-    'claim_row',
+    'claim_row_key',
     'make_claims',
 ]
 
@@ -27,12 +27,12 @@
 
 LOG = logging.getLogger(__name__)
 CLAIM_PREFIX = 'claims/'
-VOTE_TIMEOUT = 0.5
-VOTE_GRACE = 0.03
-TABLE_PAUSE = 2.0
+VOTE_TIMEOUT_SECONDS = 0.5
+VOTE_GRACE_SECONDS = 0.03
+TABLE_RETRY_SECONDS = 2.0
 POOL_THREADS = 32
-RETRY_AFTER = 1.0
-SWEPT_AT_ONCE = 100
+RETRY_AFTER_SECONDS = 1.0
+SWEEP_BATCH_SIZE = 100
 TABLE_ERRORS = (
     exceptions.PlatformUnavailable,
     exceptions.PlatformAnswerLost,
@@ -49,7 +49,7 @@
 
 
 class HeldState(enum.StrEnum):
-    """What a claim's owner says of its answer."""
+    """State of a claimed request's answer, as its owner reports it."""
 
     RUNNING = 'running'
     ENDED = 'ended'
@@ -57,7 +57,10 @@
 
 
 class HeldView(msgspec.Struct):
-    """An answer as its owner tells it; `parts` are encoded by the runner."""
+    """A held answer as its owner reports it.
+
+    `parts` are encoded by `keyed.KeyedRunner`.
+    """
 
     state: HeldState
     fingerprint: str = ''
@@ -67,11 +70,12 @@
 
 
 class HeldElsewhere(Exception):
-    """Another router holds the key.
+    """Another request has claimed the key.
 
     Attributes
     ----------
     holder : claims.Claim
+        The claim of that request.
     """
 
     def __init__(self, holder):
@@ -80,12 +84,12 @@
 
 
 class ClaimActor(actors.MessageActor):
-    """Owns this router's claim book."""
+    """Owns the claims that this router stores as a voter."""
 
     def __init__(self, window, clock):
         super().__init__()
         self.clock = clock
-        self.book = claims_module.make_voter(window, clock())
+        self.voter = claims_module.make_voter(window, clock())
 
     def handlers(self):
         return {
@@ -94,14 +98,14 @@
         }
 
     def on_vote_request(self, message):
-        return self.book.vote(message.claim, self.clock())
+        return self.voter.vote(message.claim, self.clock())
 
     def on_release_request(self, message):
-        self.book.release(message.key, message.claim_id)
+        self.voter.release(message.key, message.claim_id)
 
 
-def claim_row(key):
-    """Give the table key of a claim."""
+def claim_row_key(key):
+    """Return the table key of the claim to an idempotency key."""
     return f'{CLAIM_PREFIX}{key}'
 
 
@@ -111,21 +115,24 @@
     Parameters
     ----------
     table : tables.TableService
-        With short timeouts of its own.
-    upkeep : tables.TableService
-        For what no caller waits for.
+        Used while a caller waits, so with short timeouts.
+    background_table : tables.TableService
+        Used for background work.
     members : callable
-        Gives ``dict`` of voter id to 'IP:PORT' (this router's own under
-        its id), or None while the VM list was never read.
+        Returns a ``dict`` of voter id to 'IP:PORT', which includes this
+        router, or None until the VM list has been read once.
     own_id : str
     caller : calls.Caller
     window : float
+        Seconds for which a claim must be remembered.
     clock : callable
     """
 
-    def __init__(self, table, upkeep, members, own_id, caller, window, clock):
+    def __init__(
+        self, table, background_table, members, own_id, caller, window, clock
+    ):
         self.table = table
-        self.upkeep = upkeep
+        self.background_table = background_table
         self.members = members
         self.own_id = own_id
         self.caller = caller
@@ -138,15 +145,15 @@
         self.pool = concurrent.futures.ThreadPoolExecutor(POOL_THREADS)
 
     def vote(self, claim):
-        """Vote on a claim, as one of its voters."""
+        """Return this router's vote on a claim."""
         return self.actor.ask(VoteRequest(claim))
 
     def release_local(self, request):
-        """Forget a claim that did not run."""
+        """Remove a claim whose request did not run from this router."""
         self.actor.tell(request)
 
     def claim(self, claim):
-        """Claim a key, so that the caller of this may run its request.
+        """Claim a key, after which its request may run.
 
         Parameters
         ----------
@@ -156,20 +163,21 @@
         ------
         HeldElsewhere
         ClaimUnavailable
-            Nothing ran and nothing is claimed any more.
+            The request did not run, and its claim was released.
         """
         members = self.members()
         if members is None:
             raise exceptions.ClaimUnavailable(
-                'the VM list was never read here', retry_after=RETRY_AFTER
+                'this router has not read the VM list yet',
+                retry_after=RETRY_AFTER_SECONDS,
             )
-        table, holder = self._claim_row(claim)
-        chosen = claims_module.voters(claim.key, members)
+        table, holder = self._commit_claim(claim)
+        voter_ids = claims_module.voters(claim.key, members)
         votes = []
         if table is not claims_module.TableAnswer.HELD:
-            votes = self._ask_voters(claim, chosen, members)
+            votes = self._query_voters(claim, voter_ids, members)
         decision = claims_module.decide(
-            claim, table, holder, votes, len(chosen), self.window
+            claim, table, holder, votes, len(voter_ids), self.window
         )
         if decision.verdict is claims_module.Verdict.RUN:
             if table is claims_module.TableAnswer.DOWN:
@@ -179,30 +187,32 @@
         if decision.verdict is claims_module.Verdict.HELD:
             raise HeldElsewhere(decision.holder)
         raise exceptions.ClaimUnavailable(
-            f'{len(votes)} of {len(chosen)} routers remember the claim',
-            retry_after=RETRY_AFTER,
+            f'{len(votes)} of {len(voter_ids)} voters replied, too few to'
+            ' confirm the claim',
+            retry_after=RETRY_AFTER_SECONDS,
         )
 
     # Table service
 
-    def _claim_row(self, claim):
-        """Write the claim row; give a `TableAnswer` and another's claim.
+    def _commit_claim(self, claim):
+        """Write the claim row; return a `TableAnswer` and the other holder.
 
-        After a failure the table is left alone for a moment: an alert must
-        not wait out a timeout each time while the store is down.
+        After a failure the table is not called for some seconds: while the
+        store is down, an urgent request must not wait for a timeout each
+        time.
         """
         if self.clock() < self.table_down_until:
             return claims_module.TableAnswer.DOWN, None
         try:
-            return self._write_row(self.table, claim)
+            return self._write_claim(self.table, claim)
         except exceptions.StoreBudgetSpent:
             return claims_module.TableAnswer.DOWN, None
         except TABLE_ERRORS:
-            self.table_down_until = self.clock() + TABLE_PAUSE
+            self.table_down_until = self.clock() + TABLE_RETRY_SECONDS
             return claims_module.TableAnswer.DOWN, None
 
-    def _write_row(self, table, claim):
-        key = claim_row(claim.key)
+    def _write_claim(self, table, claim):
+        key = claim_row_key(claim.key)
         row = msgspec.to_builtins(claim)
         try:
             table.commit({key: tables.ABSENT}, {key: row})
@@ -217,43 +227,49 @@
         return claims_module.TableAnswer.HELD, holder
 
     def save_unsaved(self):
-        """Write claims made during an outage, now that it may be over.
+        """Write the rows of claims that were made during a table outage.
 
-        As many as the budget allows; the others wait for the next time.
-        One that is older than any repeat may be needs no row any more.
+        It writes as many as the budget allows and leaves the others for the
+        next call.  A claim older than `window` is dropped: no repeat of its
+        request can arrive any more.
         """
         for key, claim in list(self.unsaved.items()):
             if self.wall_clock() - claim.made_at <= self.window:
                 try:
-                    self._write_row(self.upkeep, claim)
+                    self._write_claim(self.background_table, claim)
                 except TABLE_ERRORS:
                     return
             self.unsaved.pop(key, None)
 
     def sweep(self, wall_time):
-        """Delete claim rows that are older than any repeat may be."""
+        """Delete claim rows that are older than twice the window.
+
+        No repeat of their requests can arrive any more.
+        """
         old = {}
-        for row in self.upkeep.scan_all(CLAIM_PREFIX):
+        for row in self.background_table.scan_all(CLAIM_PREFIX):
             claim = msgspec.convert(row.value, claims_module.Claim)
             if wall_time - claim.made_at > 2 * self.window:
                 old[row.key] = row.version
-        for keys in more_itertools.chunked(old, SWEPT_AT_ONCE):
-            _delete_rows(self.upkeep, {key: old[key] for key in keys})
+        for keys in more_itertools.chunked(old, SWEEP_BATCH_SIZE):
+            _delete_rows(
+                self.background_table, {key: old[key] for key in keys}
+            )
 
     # Voters
 
-    def _ask_voters(self, claim, chosen, members):
-        others = [name for name in chosen if name != self.own_id]
-        asked = [
-            self.pool.submit(self._ask_one, members[name], claim)
+    def _query_voters(self, claim, voter_ids, members):
+        others = [name for name in voter_ids if name != self.own_id]
+        futures = [
+            self.pool.submit(self._query_voter, members[name], claim)
             for name in others
         ]
         votes = []
-        if self.own_id in chosen:
+        if self.own_id in voter_ids:
             votes.append(self.vote(claim))
-        return _gather(asked, votes, len(chosen))
+        return _collect_votes(futures, votes, len(voter_ids))
 
-    def _ask_one(self, address, claim):
+    def _query_voter(self, address, claim):
         try:
             return self.caller.call(
                 'POST',
@@ -266,34 +282,35 @@
             return None
 
     def release(self, claim):
-        """Take a claim back everywhere: its request did not run.
+        """Release a claim at all voters and in the table.
 
-        The caller is answered only after this, for a short time at most:
-        its repeat may follow at once and must not meet its own claim.
-        Where a release is lost all the same, the repeat is told by this
-        router that it holds nothing, and is answered `unknown`.
+        Its request did not run.  The caller's response waits for this, up to
+        `VOTE_TIMEOUT_SECONDS`, because a repeat may follow at once and
+        must not find its own claim.  If a release is lost nevertheless, the
+        repeat finds the claim, this router reports that it has no answer to
+        it, and the caller gets outcome `unknown`.
         """
         request = ReleaseRequest(claim.key, claim.id)
         self.release_local(request)
         self.unsaved.pop(claim.key, None)
         members = self.members() or {}
-        asked = [
-            self.pool.submit(self._release_one, members[name], request)
+        futures = [
+            self.pool.submit(self._release_at_voter, members[name], request)
             for name in claims_module.voters(claim.key, members)
             if name != self.own_id
         ]
         if self.clock() >= self.table_down_until:
-            asked.append(self.pool.submit(self._release_row, claim))
-        concurrent.futures.wait(asked, timeout=VOTE_TIMEOUT)
+            futures.append(self.pool.submit(self._release_row, claim))
+        concurrent.futures.wait(futures, timeout=VOTE_TIMEOUT_SECONDS)
 
-    def _release_one(self, address, request):
+    def _release_at_voter(self, address, request):
         try:
             self.caller.call('POST', address, '/peer/releases', request)
         except (calls.CallError, exceptions.IbisringError):
             return
 
     def _release_row(self, claim):
-        key = claim_row(claim.key)
+        key = claim_row_key(claim.key)
         try:
             found = self.table.read([key]).get(key)
         except exceptions.IbisringError:
@@ -301,21 +318,21 @@
         if found is not None and found.value['id'] == claim.id:
             _delete_rows(self.table, {key: found.version})
 
-    # Owners
+    # Owners of claims
 
     def query_owner(self, holder, wait):
-        """Ask a claim's owner for its answer.
+        """Query a claim's owner for its answer.
 
         Parameters
         ----------
         holder : claims.Claim
         wait : float
-            Seconds to wait for its end.
+            Seconds for which the owner may wait for the answer to end.
 
         Returns
         -------
         HeldView or None
-            None if the owner can't be reached.
+            None if the owner can't be reached or returns an error.
         """
         path = f'/peer/answers/{holder.key}?wait={wait:.3f}'
         try:
@@ -324,7 +341,7 @@
                 holder.owner,
                 path,
                 cls=HeldView,
-                read_timeout=wait + VOTE_TIMEOUT,
+                read_timeout=wait + VOTE_TIMEOUT_SECONDS,
             )
         except (calls.CallError, exceptions.IbisringError):
             return None
@@ -338,22 +355,24 @@
     try:
         table.commit(versions, {}, list(versions))
     except exceptions.IbisringError:
-        # Another router deleted one, or the next sweep will.
+        # Another router deleted a row already, or the next sweep does.
         return
 
 
-def _gather(asked, votes, voter_count):
-    """Collect votes until they are enough.
+def _collect_votes(futures, votes, voter_count):
+    """Collect votes until a majority has replied.
 
-    A frozen voter answers only by its timeout.  Were it waited for, every
-    alert would be late while one router is frozen.  Any earlier claim that
-    ran has a vote in every majority, so a majority is enough; the others
-    get a short grace, for they may know of a claim that did not run.
+    A voter that hangs would delay every urgent request until its timeout.
+    A majority is enough, because any earlier claim whose request ran is
+    remembered by at least one voter of every majority.  The other voters
+    get a short grace period, as they may know of a claim that did not run.
     """
-    done, pending = concurrent.futures.wait(asked, timeout=VOTE_GRACE)
+    done, pending = concurrent.futures.wait(
+        futures, timeout=VOTE_GRACE_SECONDS
+    )
     while True:
-        answers = (future.result() for future in done)
-        votes.extend(vote for vote in answers if vote is not None)
+        replies = (future.result() for future in done)
+        votes.extend(vote for vote in replies if vote is not None)
         if not pending or 2 * len(votes) > voter_count:
             return votes
         done, pending = concurrent.futures.wait(
@@ -362,12 +381,12 @@
 
 
 def make_claims(
-    settings, table, upkeep, members, caller, clock=time.monotonic
+    settings, table, background_table, members, caller, clock=time.monotonic
 ):
-    """Make the claims of a router."""
+    """Make the claims client of a router."""
     return Claims(
         table,
-        upkeep,
+        background_table,
         members,
         settings.router_id,
         caller,
--- a/packages/router/ibisring_router/heldanswers.py
+++ b/packages/router/ibisring_router/heldanswers.py
@@ -1,4 +1,8 @@
-"""Answers held under an Idempotency-Key, to be joined or given again."""
+"""Answers to keyed requests, held for repeats of the requests.
+
+A repeat with the same Idempotency-Key joins a running answer or gets a copy
+of an ended one.
+"""
 
 __all__ = ['HeldAnswer', 'HeldAnswers', 'make_answers']
 
@@ -10,18 +14,18 @@
 
 MAX_RUNNING = 2048
 MAX_BYTES = 48_000_000
-# What an answer and each of its parts take besides their text.
-ANSWER_BYTES = 2000
-PART_BYTES = 100
+# Memory that an answer and each of its parts take in addition to their text.
+ANSWER_OVERHEAD_BYTES = 2000
+PART_OVERHEAD_BYTES = 100
 
 
 class HeldAnswer:
-    """An answer in the making or whole: its parts, then its end.
+    """The parts of a running or ended answer.
 
     Parameters
     ----------
     fingerprint : str
-        Of the request's account, path and body.
+        Hash of the request's path and body.
     """
 
     def __init__(self, fingerprint):
@@ -33,17 +37,17 @@
         self.changed = threading.Condition()
 
     def add(self, part):
-        """Add a part as it comes."""
+        """Append a part and wake the threads that follow the answer."""
         with self.changed:
             self.parts.append(part)
             self.changed.notify_all()
 
     def size(self):
-        """Give about how many bytes of memory it takes."""
-        return ANSWER_BYTES + sum(_size(part) for part in self.parts)
+        """Return the approximate memory use in bytes."""
+        return ANSWER_OVERHEAD_BYTES + sum(_size(part) for part in self.parts)
 
-    def end(self, now, error=None):
-        """Say that no further part comes."""
+    def finish(self, now, error=None):
+        """Mark the answer as ended, with an error if it failed."""
         with self.changed:
             self.error = error
             self.ended = True
@@ -51,12 +55,12 @@
             self.changed.notify_all()
 
     def wait(self, timeout):
-        """Wait for the end; False if it has not come in time."""
+        """Wait until the answer has ended; return False after a timeout."""
         with self.changed:
             return self.changed.wait_for(lambda: self.ended, timeout)
 
     def follow(self, clock, deadline):
-        """Yield all parts from the first on, as they come.
+        """Yield all parts from the first on, as they are added.
 
         Raises
         ------
@@ -81,7 +85,7 @@
             if ended:
                 return
             raise exceptions.OutcomeUnknown(
-                'the first copy still runs at the deadline'
+                'the first copy of the request was still running'
             )
 
 
@@ -91,17 +95,17 @@
     Parameters
     ----------
     window : float
-        Seconds that an ended answer is kept.
+        Seconds for which an ended answer is kept.
     clock : callable
     max_bytes : int
-        Of ended answers.
+        Bound on the memory of ended answers.
 
     Notes
     -----
-    In a storm there are more alerts within the window than any number fixed
-    beforehand.  Refused for that, they would come late, so the oldest ended
-    answers make room.  Their claims are remembered all the same: a repeat is
-    answered `unknown` and does not run.
+    The number of ended answers is not bounded: in a storm more alerts arrive
+    within the window than any fixed bound, and refusing them would delay
+    them.  Instead the oldest ended answers are dropped.  The claims to their
+    keys remain, so a repeat gets outcome `unknown` and does not run.
     """
 
     def __init__(self, window, clock, max_bytes=MAX_BYTES):
@@ -110,34 +114,35 @@
         self.max_bytes = max_bytes
         self.lock = threading.Lock()
         self.running = {}
-        # By the time of their end.
+        # In order of the time at which they ended.
         self.ended = collections.OrderedDict()
-        self.bytes = 0
+        self.ended_bytes = 0
 
-    def open(self, key, fingerprint):
-        """Give the answer held under a key, making it if there is none.
+    def get_or_create(self, key, fingerprint):
+        """Return the answer held under a key, created if there is none.
 
         Returns
         -------
         tuple of (HeldAnswer, bool)
-            True if it was made now: the caller of this must produce it, and
-            then call `end`.
+            The flag is True if it was created: the caller must then produce
+            its parts and call `finish`.
 
         Raises
         ------
         KeyReused
         Overloaded
-            Too many are in the making.
+            Too many answers are running.
         """
         with self.lock:
-            self._make_room()
+            self._drop_old_answers()
             held = self._find(key)
             if held is not None:
                 check_fingerprint(held.fingerprint, fingerprint)
                 return held, False
             if len(self.running) >= MAX_RUNNING:
                 raise exceptions.Overloaded(
-                    'too many keyed requests run', retry_after=1.0
+                    f'{MAX_RUNNING} keyed requests are running here',
+                    retry_after=1.0,
                 )
             held = self.running[key] = HeldAnswer(fingerprint)
             return held, True
@@ -146,44 +151,44 @@
         return self.running.get(key) or self.ended.get(key)
 
     def get(self, key):
-        """Give the answer held under a key, or None."""
+        """Return the answer held under a key, or None."""
         with self.lock:
             return self._find(key)
 
-    def end(self, key, held, error=None):
-        """Say that no further part comes to an answer."""
-        held.end(self.clock(), error)
+    def finish(self, key, held, error=None):
+        """Mark a running answer as ended, and keep it for repeats."""
+        held.finish(self.clock(), error)
         with self.lock:
             if self.running.get(key) is held:
                 del self.running[key]
                 self.ended[key] = held
-                self.bytes += held.size()
-                self._make_room()
+                self.ended_bytes += held.size()
+                self._drop_old_answers()
 
     def discard(self, key):
-        """Forget an answer in the making; its key may be used anew."""
+        """Drop a running answer; its key may be used again."""
         with self.lock:
             self.running.pop(key, None)
 
-    def _make_room(self):
-        """Drop ended answers that are too old or too many."""
+    def _drop_old_answers(self):
+        """Drop ended answers older than the window or beyond `max_bytes`."""
         now = self.clock()
         while self.ended:
             oldest = next(iter(self.ended.values()))
             expired = now - oldest.ended_at >= self.window
-            if not expired and self.bytes <= self.max_bytes:
+            if not expired and self.ended_bytes <= self.max_bytes:
                 return
             self.ended.popitem(last=False)
-            self.bytes -= oldest.size()
+            self.ended_bytes -= oldest.size()
 
 
 def _size(part):
     text = part if isinstance(part, str) else msgspec.json.encode(part)
-    return PART_BYTES + len(text)
+    return PART_OVERHEAD_BYTES + len(text)
 
 
 def check_fingerprint(held, given):
-    """Refuse a key that comes with another request.
+    """Refuse a key that was used for a different request.
 
     Raises
     ------
@@ -191,10 +196,10 @@
     """
     if held != given:
         raise exceptions.KeyReused(
-            'the Idempotency-Key was used for another request'
+            'the Idempotency-Key was already used for a different request'
         )
 
 
 def make_answers(window, clock):
-    """Make the held answers of a router."""
+    """Make the store of held answers of a router."""
     return HeldAnswers(window, clock)
--- a/packages/router/ibisring_router/keyed.py
+++ b/packages/router/ibisring_router/keyed.py
@@ -1,4 +1,4 @@
-"""Running keyed requests once, and answering their repeats."""
+"""Running requests with an Idempotency-Key once, and answering repeats."""
 
 __all__ = ['KeyedRequest', 'KeyedRunner', 'make_runner']
 
@@ -15,11 +15,11 @@
 import msgspec
 import xxhash
 
-LONGEST_WAIT = 2.0
-ASK_PAUSE = 0.1
-MOST_WAITING = 4
+MAX_WAIT_SECONDS = 2.0
+QUERY_INTERVAL_SECONDS = 0.1
+MAX_WAITING_PEERS = 4
 
-# What parts of an answer look like between routers.
+# Types of an answer's parts in a peer's reply.
 _PART = Union[generating.Completed, servicecalls.ServiceAnswer, str]
 
 
@@ -34,21 +34,21 @@
     idempotent: bool
     deadline: float
 
-    def scope(self):
-        """Give the key as it is claimed: keys of accounts don't mix."""
+    def claim_key(self):
+        """Return the key to claim, distinct for each account."""
         text = f'{self.account}\0{self.key}'
         return xxhash.xxh128_hexdigest(text.encode())
 
     def fingerprint(self):
-        """Give what tells another request under the same key apart."""
+        """Return a hash that differs for a different request."""
         data = self.path.encode() + b'\0' + self.body
         return xxhash.xxh128_hexdigest(data)
 
 
 class KeyedRunner:
-    """Runs keyed requests in threads of their own.
+    """Runs each keyed request in its own thread.
 
-    A caller that leaves does not end such a run: its repeat joins it.
+    The run goes on when its caller disconnects, so that a repeat can join it.
 
     Parameters
     ----------
@@ -57,7 +57,7 @@
     limiter : requestlimiter.RequestLimiter
     metrics : metrics.Metrics
     owner : callable
-        Gives the 'IP:PORT' where peers ask this router.
+        Returns the 'IP:PORT' at which peers reach this router.
     clock, sleep : callable
     """
 
@@ -69,24 +69,24 @@
         self.owner = owner
         self.clock = clock
         self.sleep = sleep
-        self.waiting = threading.BoundedSemaphore(MOST_WAITING)
+        self.waiting_peers = threading.BoundedSemaphore(MAX_WAITING_PEERS)
 
     def run(self, request, start):
-        """Yield the parts of the one answer to a key.
+        """Return an iterator over the parts of the answer to a key.
 
         Parameters
         ----------
         request : KeyedRequest
         start : callable
-            Gives an iterator of parts; called at most once per key.
+            Returns an iterator of parts; called at most once per key.
 
         Raises
         ------
         IbisringError
         """
-        key = request.scope()
-        held, mine = self.answers.open(key, request.fingerprint())
-        if mine:
+        key = request.claim_key()
+        held, created = self.answers.get_or_create(key, request.fingerprint())
+        if created:
             thread = threading.Thread(
                 target=self._produce,
                 args=(key, held, request, start),
@@ -106,20 +106,20 @@
                     claim = self._claim(key, request)
                 for part in start():
                     held.add(part)
-            except claiming.HeldElsewhere as elsewhere:
+            except claiming.HeldElsewhere as other:
                 claim = None
-                error = self._join(held, request, elsewhere.holder)
-            except exceptions.IbisringError as raised:
-                error = raised
-            except Exception as raised:
-                # Whoever follows would otherwise wait for ever.
-                error = exceptions.OutcomeUnknown(repr(raised))
+                error = self._copy_answer(held, request, other.holder)
+            except exceptions.IbisringError as caught:
+                error = caught
+            except Exception as caught:
+                # Without an end, the callers that follow would wait forever.
+                error = exceptions.OutcomeUnknown(repr(caught))
             if error is not None:
-                self._forget_if_not_run(key, claim, error)
-            self.answers.end(key, held, error)
+                self._free_key_if_not_run(key, claim, error)
+            self.answers.finish(key, held, error)
 
-    def _forget_if_not_run(self, key, claim, error):
-        """Free the key after a refusal, so that a repeat may run."""
+    def _free_key_if_not_run(self, key, claim, error):
+        """Free the key of a request that did not run, for a repeat."""
         if error.outcome is not exceptions.Outcome.NOT_RUN:
             return
         self.answers.discard(key)
@@ -137,13 +137,13 @@
         self.claims.claim(claim)
         return claim
 
-    def _join(self, held, request, holder):
-        """Give a repeat the answer that another router holds.
+    def _copy_answer(self, held, request, holder):
+        """Copy the answer held by the claim's owner to a repeat.
 
         Returns
         -------
         IbisringError or None
-            What the repeat is told if there is no whole answer.
+            The error for the repeat if there is no complete answer.
         """
         self.metrics.count('keyed.held_elsewhere')
         try:
@@ -152,10 +152,10 @@
             )
         except exceptions.KeyReused as error:
             return error
-        view = self._ask_until_ended(request, holder)
+        view = self._poll_owner(request, holder)
         if view is None or view.state is not claiming.HeldState.ENDED:
             return exceptions.OutcomeUnknown(
-                f'router {holder.owner} began it and gives no answer'
+                f'router {holder.owner} started it and returned no answer'
             )
         if view.error_code:
             return exceptions.error_from_code(
@@ -165,40 +165,43 @@
             held.add(msgspec.json.decode(part, type=_PART))
         return None
 
-    def _ask_until_ended(self, request, holder):
-        """Ask a claim's owner until its answer ended; None if it can't be.
+    def _poll_owner(self, request, holder):
+        """Query a claim's owner until its answer has ended.
 
-        A claim of this router's own address, without its answer here, was
-        a former process's, and nobody is left to ask.
+        Returns None if the owner can't be reached.  A claim with this
+        router's own address but without an answer here was made by a former
+        process, so no owner is left to query.
         """
         if holder.owner == self.owner():
             return None
         while True:
-            left = request.deadline - self.clock()
-            view = self.claims.query_owner(holder, min(LONGEST_WAIT, left))
+            seconds_left = request.deadline - self.clock()
+            view = self.claims.query_owner(
+                holder, min(MAX_WAIT_SECONDS, seconds_left)
+            )
             if view is None or view.state is not claiming.HeldState.RUNNING:
                 return view
-            if left <= ASK_PAUSE:
+            if seconds_left <= QUERY_INTERVAL_SECONDS:
                 return view
-            self.sleep(ASK_PAUSE)
+            self.sleep(QUERY_INTERVAL_SECONDS)
 
     def view(self, key, wait):
-        """Give a held answer as a peer may join it.
+        """Return a held answer for a peer, once it ends or after `wait`.
 
-        Only a few peers may wait here at a time: each holds a control
-        thread, and with none left this router would be taken for dead.
+        Only a few peers may wait at a time: each holds a control thread, and
+        with none free this router would miss probes and be taken for dead.
         """
         held = self.answers.get(key)
         if held is None:
             return claiming.HeldView(claiming.HeldState.ABSENT)
-        if not self.waiting.acquire(blocking=False):
+        if not self.waiting_peers.acquire(blocking=False):
             return claiming.HeldView(
                 claiming.HeldState.RUNNING, held.fingerprint
             )
         try:
-            ended = held.wait(min(wait, LONGEST_WAIT))
+            ended = held.wait(min(wait, MAX_WAIT_SECONDS))
         finally:
-            self.waiting.release()
+            self.waiting_peers.release()
         if not ended:
             return claiming.HeldView(
                 claiming.HeldState.RUNNING, held.fingerprint
--- a/packages/router/ibisring_router/tests/test_claiming_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_claiming_fuzz.py
@@ -1,8 +1,8 @@
-"""Routers claim keys among cuts, lost answers, outages and restarts.
+"""Stateful fuzzing of claims under cut links, outages and restarts.
 
-The real `Claims` of five routers over a table stand-in; the calls between
-them are made by hand, so that links can be cut or lose answers.  The oracle
-is a list of what ran: no key twice within the time that claims are kept.
+Five real `Claims` share an in-memory table.  Calls between them pass through
+`Link`, which can be cut or lose answers.  The oracle is a list of the
+requests that ran: no key may run twice within the claim window.
 """
 
 import collections
@@ -49,7 +49,7 @@
 
 
 class Link:
-    """Carries the calls of one router to the others."""
+    """Passes the calls of one router to the others."""
 
     def __init__(self, machine, number):
         self.machine = machine
@@ -73,7 +73,11 @@
 
 
 class Run(msgspec.Struct):
-    """A request that ran; `voters` remembered its claim, by instance."""
+    """A request that ran.
+
+    `voters` are the (router, instance) pairs that stored its claim; `kept`
+    is whether its row is in the table.
+    """
 
     claim: claims_module.Claim
     at: float
@@ -160,7 +164,7 @@
 
     def is_kept(self, claim):
         """Say whether the table holds a claim's row."""
-        row = self.table.rows.get(claiming.claim_row(claim.key))
+        row = self.table.rows.get(claiming.claim_row_key(claim.key))
         return (
             row is not None and msgspec.json.decode(row[1])['id'] == claim.id
         )
@@ -173,7 +177,7 @@
         ]
 
     def remembers(self, number, claim):
-        book = self.claims[number].actor.proxy().book.get()
+        book = self.claims[number].actor.proxy().voter.get()
         held, _ = book.claims.get(claim.key, (None, 0.0))
         return held is not None and held.id == claim.id
 
@@ -269,7 +273,7 @@
     print(dict(TOTALS))
 
 
-def count_forgetful_voters(monkeypatch):
+def count_voters_without_memory(monkeypatch):
     real = claims_module.decide
 
     def decide(claim, table, holder, votes, voter_count, window):
@@ -278,7 +282,7 @@
     monkeypatch.setattr(claims_module, 'decide', decide)
 
 
-def let_a_minority_do(monkeypatch):
+def accept_a_minority(monkeypatch):
     real = claims_module.decide
 
     def decide(claim, table, holder, votes, voter_count, window):
@@ -287,7 +291,7 @@
     monkeypatch.setattr(claims_module, 'decide', decide)
 
 
-def overlook_other_claims(monkeypatch):
+def ignore_other_claims(monkeypatch):
     real = claims_module.decide
 
     def decide(claim, table, holder, votes, voter_count, window):
@@ -297,29 +301,29 @@
     monkeypatch.setattr(claims_module, 'decide', decide)
 
 
-def trust_the_table_alone(monkeypatch):
-    real = claiming.Claims._ask_voters
+def trust_only_the_table(monkeypatch):
+    real = claiming.Claims._query_voters
 
-    def ask(self, claim, chosen, members):
-        votes = real(self, claim, chosen, members)
+    def query(self, claim, voter_ids, members):
+        votes = real(self, claim, voter_ids, members)
         if self.table.faults.down:
             return votes
         own = claims_module.Vote(claim, WINDOW)
-        return [own] * len(chosen)
+        return [own] * len(voter_ids)
 
-    monkeypatch.setattr(claiming.Claims, '_ask_voters', ask)
+    monkeypatch.setattr(claiming.Claims, '_query_voters', query)
 
 
 @pytest.mark.parametrize(
     'break_guard',
     [
-        count_forgetful_voters,
-        let_a_minority_do,
-        overlook_other_claims,
-        trust_the_table_alone,
+        count_voters_without_memory,
+        accept_a_minority,
+        ignore_other_claims,
+        trust_only_the_table,
     ],
 )
-def test_oracle_notices_a_broken_guard(break_guard, monkeypatch):
+def test_oracle_detects_a_broken_guard(break_guard, monkeypatch):
     break_guard(monkeypatch)
     with pytest.raises(AssertionError):
         run_machine((Phase.generate,))
--- a/packages/router/ibisring_router/tests/test_keyed.py
+++ b/packages/router/ibisring_router/tests/test_keyed.py
@@ -46,10 +46,10 @@
 
 
 def test_repeat_on_another_router_gets_the_first_answer(site, fleet):
-    """Symptom: an alert went out twice.
+    """A lost answer whose request the balancer repeats does not run twice.
 
-    Sequence: the answer is lost; the balancer repeats to another router.
-    Cause: that router could not know of the first copy.
+    The balancer sends the repeat to another router, which did not run the
+    first copy.
     """
     answers = [
         builders.post(router, PATH, ALERT, Idempotency_Key='a2').json()
@@ -59,25 +59,24 @@
     assert len(builders.service_runs(site)) == 1
 
 
-def test_copies_at_once_on_all_routers_run_once(site, fleet):
+def test_concurrent_copies_on_all_routers_run_once(site, fleet):
     with concurrent.futures.ThreadPoolExecutor(9) as pool:
-        asked = [
+        futures = [
             pool.submit(
                 builders.post, router, PATH, ALERT, Idempotency_Key='a3'
             )
             for router in fleet * 3
         ]
-        answers = [future.result() for future in asked]
+        answers = [future.result() for future in futures]
     assert len(builders.service_runs(site)) == 1
     assert {a.status for a in answers} == {200}
 
 
-def test_alert_goes_out_once_while_the_table_is_down(site, fleet):
-    """Symptom: alerts stop, or double, while the store is down.
+def test_alert_runs_once_while_the_table_is_down(site, fleet):
+    """An outage of the table neither stops alerts nor duplicates them.
 
-    Sequence: the table service is down; an alert comes, and its repeat
-    comes to another router.
-    Cause: without the table only the peers can remember the first copy.
+    Without the table only the voters' memory of the claim keeps the repeat
+    at another router from running.
     """
     for router in fleet:
         router.claims.window = 0.0
@@ -89,13 +88,11 @@
     assert len(builders.service_runs(site)) == 1
 
 
-def test_repeat_after_the_first_router_died_is_unknown(site, fleet):
-    """Symptom: an alert doubled when a router died.
+def test_repeat_after_a_crash_of_the_first_router_is_unknown(site, fleet):
+    """An alert whose router crashed before it answered does not run again.
 
-    Sequence: a router runs the alert and dies before it answers; the
-    repeat comes to another one.
-    Cause: the first answer died with its router, so nobody can give it
-    again; it may have run, and must not run again.
+    The answer was lost with its router.  The request may have run, so the
+    repeat at another router gets outcome unknown.
     """
     builders.post(fleet[0], PATH, ALERT, Idempotency_Key='a5')
     fleet[0].control.stop()
@@ -105,12 +102,11 @@
     assert len(builders.service_runs(site)) == 1
 
 
-def test_repeat_after_a_restart_is_unknown_at_once(site, fleet):
-    """Symptom: the repeat of an alert hangs until its deadline.
+def test_repeat_after_a_restart_of_the_owner_is_unknown_at_once(site, fleet):
+    """A repeat does not wait until its deadline for a restarted router.
 
-    Sequence: a router restarts under its old address; the repeat comes to
-    it, and the claim says that this address holds the answer.
-    Cause: the router waited for itself.
+    The claim names the router's own address as owner, but the answer was
+    lost in the restart; the router would query itself until the deadline.
     """
     builders.post(fleet[0], PATH, ALERT, Idempotency_Key='a0')
     fleet[0].keyed.answers.ended.clear()
@@ -119,21 +115,21 @@
     assert len(builders.service_runs(site)) == 1
 
 
-def test_waiting_peers_leave_control_threads_free(site, fleet):
-    """Symptom: a busy router is taken for dead by its peers.
+def test_waiting_peers_do_not_hold_all_control_threads(site, fleet):
+    """A router that peers wait for still answers their probes.
 
-    Sequence: many repeats join one slow answer from other routers.
-    Cause: each held a control thread until the answer ended.
+    Without a bound, each repeat that joins a slow answer from another router
+    holds a control thread until the answer ends.
     """
     keyed = fleet[0].keyed
-    keyed.answers.open('slow', 'print')
-    for _ in range(keyed_module.MOST_WAITING):
-        assert keyed.waiting.acquire(blocking=False)
+    keyed.answers.get_or_create('slow', 'fingerprint')
+    for _ in range(keyed_module.MAX_WAITING_PEERS):
+        assert keyed.waiting_peers.acquire(blocking=False)
     view = keyed.view('slow', 1000.0)
     assert view.state is claiming.HeldState.RUNNING
 
 
-def test_store_down_and_a_peer_dead_still_sends_the_alert(site, fleet):
+def test_alert_runs_once_with_the_table_down_and_a_peer_dead(site, fleet):
     for router in fleet:
         router.claims.window = 0.0
     set_table(site, down=True)
@@ -145,7 +141,9 @@
     assert len(builders.service_runs(site)) == 1
 
 
-def test_without_a_majority_it_is_refused_as_not_run(site, fleet):
+def test_request_without_a_majority_of_voters_is_refused_as_not_run(
+    site, fleet
+):
     set_table(site, down=True)
     for router in fleet[1:]:
         router.control.stop()
@@ -159,7 +157,7 @@
     assert not builders.service_runs(site)
 
 
-def test_claim_made_in_an_outage_is_written_afterwards(site, fleet):
+def test_claim_made_during_an_outage_is_written_after_it(site, fleet):
     for router in fleet:
         router.claims.window = 0.0
     set_table(site, down=True)
@@ -172,7 +170,7 @@
 
 
 def spend_budget(router, writes):
-    """Leave a router so many writes; no second passes for its budget."""
+    """Spend a budget of some writes; its clock stands still."""
     shared = router.store_budget
     shared.clock = lambda: 0.0
     shared.routers = lambda: 1
@@ -181,11 +179,11 @@
         assert shared.budget.may_write(FOREGROUND, 1, 0.0)
 
 
-def test_alert_goes_out_when_the_store_budget_is_spent(site, fleet):
-    """Symptom: alerts are refused while a router is busy with the store.
+def test_alert_runs_when_the_store_budget_is_spent(site, fleet):
+    """Keyed requests that exceed the store budget run without a claim row.
 
-    Sequence: a burst of keyed calls spends the router's part of the writes.
-    Cause: a call not made was taken for an error of the request.
+    A burst of keyed calls spends the router's share of the writes; the call
+    that was not made must not fail the request.
     """
     for router in fleet:
         router.claims.window = 0.0
@@ -201,11 +199,10 @@
     )
 
 
-def test_returning_store_is_not_run_down_by_late_writes(site, fleet):
-    """Symptom: the store comes back, and is down again at once.
+def test_delayed_claim_writes_stay_within_the_store_budget(site, fleet):
+    """Claims of an outage don't overload the table service when it recovers.
 
-    Sequence: claims made in an outage are all written when it ends.
-    Cause: nothing held them to the budget.
+    They would all be written at once if the budget did not apply.
     """
     for router in fleet:
         router.claims.window = 0.0
@@ -225,20 +222,20 @@
         router.store_budget.clock = lambda now=float(second): now
         router.claims.save_unsaved()
         left.append(len(router.claims.unsaved))
-    # Half of the four a second is kept for what a caller waits for.
+    # Half of the four writes per second is reserved for foreground calls.
     assert left[0] == 9
     assert left[-1] == 0
     assert len(site.platform.table.scan('claims/')) == 12
 
 
-def test_lost_answer_of_the_claim_row_is_settled_by_reading(site, fleet):
+def test_lost_answer_of_a_claim_write_is_resolved_by_reading(site, fleet):
     set_table(site, lose_answers=1)
     answer = builders.post(fleet[0], PATH, ALERT, Idempotency_Key='a9')
     assert answer.status == 200
     assert len(builders.service_runs(site)) == 1
 
 
-def test_old_claim_rows_are_swept(site, fleet):
+def test_sweep_deletes_old_claim_rows(site, fleet):
     builders.post(fleet[0], PATH, ALERT, Idempotency_Key='c1')
     claims = fleet[0].claims
     (row,) = site.platform.table.scan('claims/')
@@ -248,7 +245,7 @@
     assert not site.platform.table.scan('claims/')
 
 
-def test_key_with_another_body_is_refused(site, fleet):
+def test_key_with_a_different_body_is_refused(site, fleet):
     builders.post(fleet[0], PATH, ALERT, Idempotency_Key='b1')
     for router in fleet[:2]:
         other = builders.post(router, PATH, {'x': 1}, Idempotency_Key='b1')
@@ -256,7 +253,9 @@
     assert len(builders.service_runs(site)) == 1
 
 
-def test_refused_as_not_run_may_be_repeated_elsewhere(site, fleet):
+def test_request_refused_as_not_run_may_be_repeated_at_another_router(
+    site, fleet
+):
     for service in site.services.values():
         service.faults.refuse = True
     first = builders.post(fleet[0], PATH, ALERT, Idempotency_Key='b2')
@@ -268,7 +267,7 @@
     assert len(builders.service_runs(site)) == 1
 
 
-def test_draft_is_generated_once_for_copies_on_two_routers(site, fleet):
+def test_copies_of_a_model_request_on_two_routers_generate_once(site, fleet):
     body = {'model': 'modelo-cocina', 'prompt': 'sopa', 'max_tokens': 6}
     headers = {'Idempotency_Key': 'b3', 'Ibisring_Idempotent': 'false'}
     texts = {
