--- a/packages/router/ibisring_router/attempterrors.py
+++ b/packages/router/ibisring_router/attempterrors.py
@@ -1,4 +1,4 @@
-"""The final error of a request whose attempts ended badly."""
+"""Errors of failed attempts, and the final error of their request."""
 
 __all__ = [
     'AttemptFailed',
@@ -11,32 +11,32 @@
 from ibisring_records import exceptions
 from ibisring_web import calls
 
-RETRY_AFTER = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
-_PHRASES = {
+_DESCRIPTIONS = {
     retries.Failure.NOT_SENT: 'could not be reached',
     retries.Failure.REFUSED: 'refused the request without running it',
     retries.Failure.FAILED: 'ran the request and failed',
     retries.Failure.STAGE_LOST: 'was lost while the request ran',
     retries.Failure.CUT: 'broke off before its answer was whole',
-    retries.Failure.SILENT: 'fell silent',
+    retries.Failure.SILENT: 'did not respond in time',
     retries.Failure.SLOW: 'became too slow',
-    retries.Failure.GONE: 'was left by the caller',
+    retries.Failure.GONE: 'was interrupted: the caller disconnected',
 }
 
 
 class AttemptFailed(Exception):
-    """An attempt ended badly.
+    """An attempt failed.
 
     Attributes
     ----------
     failure : retries.Failure
     detail : str
-        For counting and logs; it may hold addresses.
+        For metrics and logs only, as it may contain addresses.
     failed_endpoint : str
-        The endpoint at fault, or '' if it is not known.
+        Name of the endpoint that failed, '' if unknown.
     action : retries.Action or None
-        What was decided about it.
+        The action chosen after the failure.
     """
 
     def __init__(self, failure, detail, failed_endpoint=''):
@@ -47,37 +47,37 @@
         self.action = None
 
     def caller_detail(self):
-        """Say what happened without addresses."""
+        """Return the detail for the caller, without addresses."""
         name = self.failed_endpoint or 'the endpoint'
-        return f'{name} {_PHRASES[self.failure]}'
+        return f'{name} {_DESCRIPTIONS[self.failure]}'
 
 
 def from_answer_lost(error):
-    """Give the failure of an attempt whose answer did not come whole.
+    """Make the failure of an attempt whose answer was lost.
 
     Parameters
     ----------
     error : calls.AnswerLost
     """
-    silent = isinstance(error, calls.Silent)
-    failure = retries.Failure.SILENT if silent else retries.Failure.CUT
+    timed_out = isinstance(error, calls.Silent)
+    failure = retries.Failure.SILENT if timed_out else retries.Failure.CUT
     return AttemptFailed(failure, str(error))
 
 
 def uncertain_error(idempotent, detail):
-    """Give the error of a request that may have run."""
+    """Make the error of a request that may have run."""
     if idempotent:
         return exceptions.Interrupted(detail)
     return exceptions.OutcomeUnknown(detail)
 
 
-def final_error(idempotent, began, failed):
-    """Give the truthful error after the last attempt.
+def final_error(idempotent, may_have_run, failed):
+    """Make the error of a request after its last attempt.
 
     Parameters
     ----------
     idempotent : bool
-    began : bool
+    may_have_run : bool
         Whether any attempt may have run.
     failed : AttemptFailed
 
@@ -85,10 +85,12 @@
     -------
     IbisringError
     """
-    outcome = retries.outcome_of(failed.failure, began)
+    outcome = retries.outcome_of(failed.failure, may_have_run)
     detail = failed.caller_detail()
     if outcome is exceptions.Outcome.NOT_RUN:
-        return exceptions.EndpointRefused(detail, retry_after=RETRY_AFTER)
+        return exceptions.EndpointRefused(
+            detail, retry_after=RETRY_AFTER_SECONDS
+        )
     if outcome is exceptions.Outcome.FAILED:
         return exceptions.EndpointFailed(detail)
     return uncertain_error(idempotent, detail)
--- a/packages/router/ibisring_router/dispatching.py
+++ b/packages/router/ibisring_router/dispatching.py
@@ -26,14 +26,14 @@
 from ibisring_router import actors
 import msgspec
 
-GONE_CHECK_SECONDS = 0.25
+CALLER_CHECK_SECONDS = 0.25
 
 
 class Offer(msgspec.Struct):
-    """Asks for placement; `slot` gets a `Grant` or an error."""
+    """Asks for placement; `future` gets the `Grant` or an error."""
 
     ticket: admission.Ticket
-    slot: concurrent.futures.Future
+    future: concurrent.futures.Future
 
 
 class Finish(msgspec.Struct):
@@ -64,26 +64,26 @@
 
 
 class Inspect(msgspec.Struct):
-    """Calls a function with the dispatcher, for reports and tests."""
+    """Asks to call a function with the dispatcher."""
 
     function: object
 
 
 class DispatchActor(actors.MessageActor):
-    """Feeds the pure dispatcher one message at a time.
+    """Passes messages to the dispatcher, one at a time.
 
     Parameters
     ----------
     dispatcher : dispatch.Dispatcher
     clock : callable
-        Monotonic seconds.
+        Monotonic time in seconds.
     """
 
     def __init__(self, dispatcher, clock):
         super().__init__()
         self.dispatcher = dispatcher
         self.clock = clock
-        self.slots = {}
+        self.futures = {}
 
     def handlers(self):
         return {
@@ -99,34 +99,38 @@
 
     def on_offer(self, message):
         ticket = message.ticket
-        self.slots[ticket.id] = message.slot
+        self.futures[ticket.id] = message.future
         try:
             results = self.dispatcher.offer(ticket, self.clock())
         except exceptions.IbisringError as error:
-            del self.slots[ticket.id]
-            message.slot.set_exception(error)
+            del self.futures[ticket.id]
+            message.future.set_exception(error)
             return
-        self._settle(results)
+        self._set_results(results)
 
     def on_finish(self, message):
         results = self.dispatcher.finish(message.report, self.clock())
-        self._settle(results)
+        self._set_results(results)
 
     def on_cancel(self, message):
-        slot = self.slots.pop(message.ticket_id, None)
+        future = self.futures.pop(message.ticket_id, None)
         results = self.dispatcher.cancel(message.ticket_id, self.clock())
-        if slot is not None:
-            slot.set_exception(exceptions.CallerGone('cancelled in queue'))
-        self._settle(results)
+        if future is not None:
+            future.set_exception(
+                exceptions.CallerGone(
+                    'the caller disconnected while the request waited'
+                )
+            )
+        self._set_results(results)
 
     def on_tick(self, message):
-        self._settle(self.dispatcher.tick(self.clock()))
+        self._set_results(self.dispatcher.tick(self.clock()))
 
     def on_configure(self, message):
         results = self.dispatcher.configure(
             message.configuration, self.clock()
         )
-        self._settle(results)
+        self._set_results(results)
 
     def on_observe(self, message):
         now = self.clock()
@@ -140,19 +144,19 @@
     def on_inspect(self, message):
         return message.function(self.dispatcher)
 
-    def _settle(self, results):
+    def _set_results(self, results):
         for result in results:
-            slot = self.slots.pop(result.ticket.id, None)
-            if slot is None:
+            future = self.futures.pop(result.ticket.id, None)
+            if future is None:
                 continue
             if isinstance(result, dispatch.Grant):
-                slot.set_result(result)
+                future.set_result(result)
             else:
-                slot.set_exception(result.error)
+                future.set_exception(result.error)
 
 
 class Placement:
-    """How request threads speak to the dispatch actor."""
+    """Client of the dispatch actor, used by request threads."""
 
     def __init__(self, actor):
         self.actor = actor
@@ -164,7 +168,7 @@
         ----------
         ticket : admission.Ticket
         is_gone : callable
-            Says whether the caller has left; asked while waiting.
+            Returns whether the caller has disconnected; called while waiting.
 
         Returns
         -------
@@ -173,25 +177,25 @@
         Raises
         ------
         IbisringError
-            Nothing ran.
+            The ticket was refused or cancelled, so nothing ran.
         """
-        slot = concurrent.futures.Future()
-        self.actor.tell(Offer(ticket, slot))
+        future = concurrent.futures.Future()
+        self.actor.tell(Offer(ticket, future))
         cancelled = False
         while True:
             try:
-                return slot.result(timeout=GONE_CHECK_SECONDS)
+                return future.result(timeout=CALLER_CHECK_SECONDS)
             except concurrent.futures.TimeoutError:
                 if not cancelled and is_gone():
                     cancelled = True
                     self.actor.tell(Cancel(ticket.id))
 
     def finish(self, report):
-        """Report how a granted attempt went."""
+        """Report the result of a granted attempt."""
         self.actor.tell(Finish(report))
 
     def observe(self, endpoint, load):
-        """Pass on an endpoint's own report of its load."""
+        """Pass on the load that an endpoint reported."""
         self.actor.tell(Observe(endpoint, load))
 
     def observe_status(self, endpoint, ready, draining):
@@ -199,15 +203,15 @@
         self.actor.tell(ObserveStatus(endpoint, ready, draining))
 
     def configure(self, configuration):
-        """Put a configuration into force for placement."""
+        """Use a configuration for placement from now on."""
         self.actor.tell(Configure(configuration))
 
     def tick(self):
-        """Let time pass: deadlines are looked at."""
+        """Check deadlines and waiting tickets at the current time."""
         self.actor.tell(Tick())
 
     def inspect(self, function):
-        """Give a function's result on the dispatcher, run by the actor."""
+        """Return `function(dispatcher)`, called in the actor's thread."""
         return self.actor.ask(Inspect(function))
 
     def stop(self):
@@ -215,6 +219,6 @@
 
 
 def start_dispatcher(router_id, clock=time.monotonic):
-    """Start the dispatch actor and give its `Placement`."""
+    """Start the dispatch actor and return its `Placement`."""
     dispatcher = dispatch.make_dispatcher(random.Random(), router_id)
     return Placement(DispatchActor.start(dispatcher, clock))
--- a/packages/router/ibisring_router/generating.py
+++ b/packages/router/ibisring_router/generating.py
@@ -1,4 +1,4 @@
-"""Running a model request: attempts, resumption and one unbroken answer."""
+"""Running model requests: attempts, resumption and retries."""
 
 __all__ = ['GenerationRequest', 'Completed', 'GenerationRunner', 'make_runner']
 
@@ -16,13 +16,14 @@
 from ibisring_router import attempterrors
 import msgspec
 
-PROMPT_COST = 0.1
+PROMPT_WORD_COST = 0.1
 
 
 class GenerationRequest(msgspec.Struct):
-    """A model request; `deadline` is in seconds of the router's clock.
+    """A model request.
 
-    So is `wanted_by`, the time that objectives ask for.
+    `deadline` and `wanted_by`, the time that its objective asks for, are in
+    seconds of the router's monotonic clock.
     """
 
     id: str
@@ -39,7 +40,7 @@
 
 
 class Completed(msgspec.Struct, tag='completed'):
-    """The end of a whole answer."""
+    """The end of a complete answer."""
 
     reason: str
     prompt_tokens: int
@@ -48,23 +49,23 @@
 
 
 class _Progress:
-    """What a request has been through so far."""
+    """State of a request over its attempts."""
 
     def __init__(self, request):
         self.request = request
         self.assembler = streams.make_assembler(request.id)
         self.attempts = 0
         self.resumes = 0
-        self.delivered_before = 0
-        self.began = False
+        self.delivered_at_start = 0
+        self.may_have_run = False
         self.avoid = set()
         self.order = None
-        self.last_chain = []
-        self.expected_pace = math.inf
+        self.previous_stages = []
+        self.expected_token_seconds = math.inf
 
     def is_delivering(self):
-        """Say whether the present attempt has brought a token."""
-        return len(self.assembler.tokens) > self.delivered_before
+        """Return whether the current attempt has delivered a token."""
+        return len(self.assembler.tokens) > self.delivered_at_start
 
 
 class GenerationRunner:
@@ -81,7 +82,7 @@
     Attributes
     ----------
     max_attempts : int
-        1 switches resumptions and further attempts off.
+        With 1, an attempt is neither resumed nor retried.
     """
 
     def __init__(self, placement, client, metrics, clock, sleep, rng):
@@ -109,8 +110,9 @@
         Raises
         ------
         IbisringError
-            With the truthful outcome.  If tokens were yielded before, the
-            answer is cut and must not be presented as whole.
+            Its outcome states whether the request ran, or that this is
+            unknown.  If tokens were yielded before, the answer is incomplete
+            and must be reported as such.
         """
         progress = _Progress(request)
         self.budget.earn()
@@ -120,7 +122,7 @@
             try:
                 finish = yield from self._attempt(progress)
             except attempterrors.AttemptFailed as failed:
-                self._after_failure(progress, failed)
+                self._handle_failure(progress, failed)
                 continue
             yield Completed(
                 finish.reason,
@@ -139,7 +141,7 @@
             account=request.account,
             rank=request.rank,
             target=request.target,
-            cost=remaining + PROMPT_COST * words,
+            cost=remaining + PROMPT_WORD_COST * words,
             deadline=request.deadline,
             wanted_by=request.wanted_by,
             arrived=self.clock(),
@@ -149,7 +151,7 @@
         try:
             return self.placement.place(ticket, is_gone)
         except exceptions.IbisringError as error:
-            if progress.began:
+            if progress.may_have_run:
                 raise attempterrors.uncertain_error(
                     request.idempotent, error.detail
                 ) from error
@@ -160,7 +162,7 @@
         progress.attempts += 1
         progress.assembler.begin_attempt(progress.attempts)
         progress.resumes = 0
-        progress.delivered_before = len(progress.assembler.tokens)
+        progress.delivered_at_start = len(progress.assembler.tokens)
         stages = [
             engines.Stage(
                 endpoint.name,
@@ -185,18 +187,18 @@
             request.rank,
             self._cache_sources(progress, stages),
         )
-        progress.last_chain = stages
-        progress.expected_pace = grant.token_seconds
+        progress.previous_stages = stages
+        progress.expected_token_seconds = grant.token_seconds
 
     def _cache_sources(self, progress, stages):
-        """Name the engines of the last chain that still hold a KV cache.
+        """Map new stages to addresses to copy a KV cache from.
 
-        A replaced stage may copy the cache from the one it replaces, if
-        that one still answers (it was cut off or slow, not dead).
+        A stage that replaces another may copy its cache, if the replaced
+        one is still reachable: its connection was lost or it was slow.
         """
         held = {
             (old.first_layer, old.last_layer): old
-            for old in progress.last_chain
+            for old in progress.previous_stages
         }
         sources = {}
         for stage in stages:
@@ -206,10 +208,10 @@
         return sources
 
     def _attempt(self, progress):
-        """Yield tokens of one attempt, resuming it where that is allowed.
+        """Yield the tokens of one attempt and report its result.
 
-        Its endpoints are freed on every way out: also when the caller
-        leaves, which ends this generator with `GeneratorExit`.
+        The report frees its endpoints.  It is sent also if the caller
+        disconnects, which closes this generator with `GeneratorExit`.
         """
         started = self.clock()
         before = len(progress.assembler.tokens)
@@ -218,7 +220,7 @@
         )
         report.failure = retries.Failure.GONE
         try:
-            finish = yield from self._with_resumes(progress)
+            finish = yield from self._attempt_with_resumes(progress)
             report.failure = None
             return finish
         except attempterrors.AttemptFailed as failed:
@@ -236,16 +238,16 @@
         self.metrics.count('attempts.cancelled')
         self.client.cancel(progress.order)
 
-    def _with_resumes(self, progress):
+    def _attempt_with_resumes(self, progress):
         source = self.client.generate(progress.order, self.placement.observe)
         while True:
             try:
-                return (yield from self._follow(progress, source))
+                return (yield from self._read_events(progress, source))
             except attempterrors.AttemptFailed as failed:
                 failed.failed_endpoint = self._failed_endpoint(
                     progress, failed
                 )
-                failed.action = self._decide(progress, failed.failure)
+                failed.action = self._choose_action(progress, failed.failure)
                 if failed.action is not retries.Action.RESUME:
                     raise
             progress.resumes += 1
@@ -257,38 +259,41 @@
     def _failed_endpoint(self, progress, failed):
         return failed.failed_endpoint or progress.order.stages[0].endpoint
 
-    def _follow(self, progress, source):
-        """Yield what the assembler delivers, until the finish event."""
+    def _read_events(self, progress, source):
+        """Yield accepted tokens; return the finish event."""
         assembler = progress.assembler
         started, first = None, len(assembler.tokens)
         for event in source:
-            progress.began = True
+            progress.may_have_run = True
             if isinstance(event, engines.TokenEvent):
                 verdict = assembler.token(event)
                 if verdict is streams.Verdict.DELIVER:
                     yield event.text
                     if started is None:
                         started = self.clock()
-                    self._check_pace(progress, started, first)
+                    self._check_token_seconds(progress, started, first)
             elif isinstance(event, engines.FinishEvent):
                 verdict = assembler.finish(event)
                 if verdict is streams.Verdict.FINISH:
                     self.metrics.count('events.dropped', assembler.dropped)
                     return event
             elif assembler.failure(event):
-                raise self._stage_failure(event)
+                raise self._failure_of_event(event)
             else:
                 verdict = streams.Verdict.DROP
             if verdict is streams.Verdict.GAP:
                 raise attempterrors.AttemptFailed(
-                    retries.Failure.CUT, 'tokens are missing'
+                    retries.Failure.CUT, 'token positions are missing'
                 )
         raise attempterrors.AttemptFailed(
-            retries.Failure.CUT, 'the stream ended before its finish'
+            retries.Failure.CUT, 'the stream ended without a finish event'
         )
 
-    def _check_pace(self, progress, started, first):
-        """Leave a chain that has become far slower than expected.
+    def _check_token_seconds(self, progress, started, first):
+        """Fail the attempt if its chain is far slower than expected.
+
+        A stage that slows down without failing would otherwise delay the
+        answer by minutes.
 
         Raises
         ------
@@ -302,13 +307,13 @@
             return
         seconds = self.clock() - started
         if retries.is_slow(
-            seconds, tokens - first - 1, progress.expected_pace
+            seconds, tokens - first - 1, progress.expected_token_seconds
         ):
             raise attempterrors.AttemptFailed(
-                retries.Failure.SLOW, 'the chain has become slow'
+                retries.Failure.SLOW, 'the chain is much slower than expected'
             )
 
-    def _stage_failure(self, event):
+    def _failure_of_event(self, event):
         failure = retries.Failure.FAILED
         if event.code == engines.STAGE_LOST:
             failure = retries.Failure.STAGE_LOST
@@ -316,16 +321,16 @@
             failure, event.detail, event.endpoint
         )
 
-    def _decide(self, progress, failure):
+    def _choose_action(self, progress, failure):
         if failure not in retries.NOT_RUN_FAILURES:
-            progress.began = True
+            progress.may_have_run = True
         elif progress.resumes and failure is retries.Failure.NOT_SENT:
-            # The resumption was not sent; the attempt itself had begun.
+            # Only the resumption was not sent; the attempt itself was.
             failure = retries.Failure.CUT
         situation = retries.Situation(
             failure,
             progress.request.idempotent,
-            progress.began,
+            progress.may_have_run,
             True,
             progress.attempts,
             progress.resumes,
@@ -336,26 +341,26 @@
         )
         return retries.decide(situation, self.budget)
 
-    def _after_failure(self, progress, failed):
-        """Prepare a new attempt, or raise the request's final error."""
+    def _handle_failure(self, progress, failed):
+        """Wait before a new attempt, or raise the request's final error."""
         self.metrics.count(f'attempts.failed.{failed.failure}')
         if failed.failure is not retries.Failure.SLOW:
             progress.avoid.add(failed.failed_endpoint)
         if failed.action is not retries.Action.NEW_ATTEMPT:
             raise attempterrors.final_error(
-                progress.request.idempotent, progress.began, failed
+                progress.request.idempotent, progress.may_have_run, failed
             )
-        pause = retries.backoff(progress.attempts, self.rng)
-        self.sleep(min(pause, max(0.0, self._left(progress))))
+        delay = retries.backoff(progress.attempts, self.rng)
+        self.sleep(min(delay, max(0.0, self._seconds_left(progress))))
 
-    def _left(self, progress):
+    def _seconds_left(self, progress):
         return progress.request.deadline - self.clock()
 
 
 def make_runner(
     placement, client, metrics, clock=time.monotonic, sleep=time.sleep
 ):
-    """Make the runner of model requests."""
+    """Make a runner of model requests."""
     return GenerationRunner(
         placement, client, metrics, clock, sleep, random.Random()
     )
--- a/packages/router/ibisring_router/servicecalls.py
+++ b/packages/router/ibisring_router/servicecalls.py
@@ -1,4 +1,4 @@
-"""Running a call of a plain service, at most once unless it is idempotent."""
+"""Running calls of plain services, at most once unless idempotent."""
 
 __all__ = ['ServiceCall', 'ServiceAnswer', 'ServiceRunner', 'make_runner']
 
@@ -16,12 +16,12 @@
 from ibisring_web import calls
 import msgspec
 
-SERVICE_COST = 1.0
-PATH = '/call'
+CALL_COST = 1.0
+CALL_PATH = '/call'
 
 
 class ServiceCall(msgspec.Struct):
-    """A call; `deadline` is in seconds of the router's clock."""
+    """A call; `deadline` is in seconds of the router's monotonic clock."""
 
     id: str
     account: str
@@ -34,7 +34,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, tag='service'):
-    """The service's own answer, whole."""
+    """The complete answer of the service."""
 
     body: msgspec.Raw
     attempts: int
@@ -49,7 +49,7 @@
     caller : calls.Caller
     metrics : metrics.Metrics
     timeout : float
-        Longest wait for one attempt's answer, in seconds.
+        Seconds to wait for the answer of one attempt.
     clock, sleep : callable
     rng : random.Random
     """
@@ -65,7 +65,7 @@
         self.budget = retries.make_budget()
 
     def run(self, request, is_gone):
-        """Give the answer of a call.
+        """Run a call and return its answer.
 
         Parameters
         ----------
@@ -79,30 +79,35 @@
         Raises
         ------
         IbisringError
-            With the truthful outcome.
+            Its outcome states whether the call ran, or that this is unknown.
         """
         self.budget.earn()
         avoid = set()
-        began = False
+        may_have_run = False
         attempt = 0
         while True:
             attempt += 1
-            endpoint = self._place(request, attempt, avoid, began, is_gone)
+            endpoint = self._place(
+                request, attempt, avoid, may_have_run, is_gone
+            )
             try:
                 body = self._attempt(request, attempt, endpoint)
                 return ServiceAnswer(body, attempt)
             except attempterrors.AttemptFailed as failed:
-                began = began or failed.failure not in retries.NOT_RUN_FAILURES
+                may_have_run = (
+                    may_have_run
+                    or failed.failure not in retries.NOT_RUN_FAILURES
+                )
                 avoid.add(endpoint.name)
-                self._after_failure(request, attempt, began, failed)
+                self._handle_failure(request, attempt, may_have_run, failed)
 
-    def _place(self, request, attempt, avoid, began, is_gone):
+    def _place(self, request, attempt, avoid, may_have_run, is_gone):
         ticket = admission.Ticket(
             id=f'{request.id}/{attempt}',
             account=request.account,
             rank=request.rank,
             target=request.target,
-            cost=SERVICE_COST,
+            cost=CALL_COST,
             deadline=request.deadline,
             arrived=self.clock(),
             weight=request.weight,
@@ -111,7 +116,7 @@
         try:
             return self.placement.place(ticket, is_gone).endpoints[0]
         except exceptions.IbisringError as error:
-            if began:
+            if may_have_run:
                 raise attempterrors.uncertain_error(
                     request.idempotent, error.detail
                 ) from error
@@ -135,22 +140,22 @@
             self.placement.finish(report)
 
     def _send(self, request, attempt, endpoint):
-        left = max(0.001, request.deadline - self.clock())
+        seconds_left = max(0.001, request.deadline - self.clock())
         address = endpoint.spec.address
         try:
-            # A connection of its own: a kept-alive one that dies on reuse
-            # leaves open whether the call ran.
+            # A new connection: if a kept-alive one is closed on reuse, it is
+            # unknown whether the call ran.
             response = self.caller.open(
                 'POST',
                 address,
-                PATH,
+                CALL_PATH,
                 request.body,
                 headers={
                     services.REQUEST_HEADER: request.id,
                     services.ATTEMPT_HEADER: str(attempt),
                 },
                 fresh=True,
-                read_timeout=min(left, self.timeout),
+                read_timeout=min(seconds_left, self.timeout),
             )
             data = calls.read_all(response, address)
         except calls.NotSent as error:
@@ -161,7 +166,7 @@
             raise attempterrors.from_answer_lost(error) from error
         self._observe(endpoint, response)
         if response.status >= 300:
-            raise _sorted_error(data, response.status)
+            raise _failure_of_response(data, response.status)
         return msgspec.Raw(data)
 
     def _observe(self, endpoint, response):
@@ -171,13 +176,13 @@
         if load is not None:
             self.placement.observe(endpoint.name, load)
 
-    def _after_failure(self, request, attempt, began, failed):
+    def _handle_failure(self, request, attempt, may_have_run, failed):
         """Wait before another attempt, or raise the final error."""
         self.metrics.count(f'attempts.failed.{failed.failure}')
         situation = retries.Situation(
             failed.failure,
             request.idempotent,
-            began,
+            may_have_run,
             False,
             attempt,
             0,
@@ -186,13 +191,15 @@
         )
         action = retries.decide(situation, self.budget)
         if action is retries.Action.NEW_ATTEMPT:
-            left = max(0.0, request.deadline - self.clock())
-            self.sleep(min(left, retries.backoff(attempt, self.rng)))
+            seconds_left = max(0.0, request.deadline - self.clock())
+            self.sleep(min(seconds_left, retries.backoff(attempt, self.rng)))
             return
-        raise attempterrors.final_error(request.idempotent, began, failed)
+        raise attempterrors.final_error(
+            request.idempotent, may_have_run, failed
+        )
 
 
-def _sorted_error(data, status):
+def _failure_of_response(data, status):
     error = calls.decode_error(data, status)
     if error.outcome is exceptions.Outcome.NOT_RUN:
         failure = retries.Failure.REFUSED
@@ -209,7 +216,7 @@
     clock=time.monotonic,
     sleep=time.sleep,
 ):
-    """Make the runner of service calls."""
+    """Make a runner of service calls."""
     return ServiceRunner(
         placement, caller, metrics, timeout, clock, sleep, random.Random()
     )
--- a/packages/router/ibisring_router/tests/test_generating.py
+++ b/packages/router/ibisring_router/tests/test_generating.py
@@ -1,4 +1,4 @@
-"""Model requests on engines in memory: slow chains, budgets, deadlines."""
+"""Model requests on in-memory engines: slow chains, budgets, deadlines."""
 
 import pytest
 
@@ -7,19 +7,19 @@
 from ibisring_router.tests import fakes
 from ibisring_standins import engine
 
-STEP = 0.01
-SLOW = 'modelo-cocina-01'
+STEP_SECONDS = 0.01
+SLOW_ENGINE = 'modelo-cocina-01'
 
 
 @pytest.fixture
 def bench():
     bench = fakes.Bench(builders.many_endpoints(6))
-    bench.channel.delays = dict.fromkeys(bench.engines, STEP)
+    bench.channel.delays = dict.fromkeys(bench.engines, STEP_SECONDS)
     return bench
 
 
-def run(bench, name, **changes):
-    """Give the text of a request, which must be the right one."""
+def run_request(bench, name, **changes):
+    """Run a request and check its tokens."""
     changes.setdefault('deadline', bench.clock() + 60.0)
     request = builders.generation(name, max_tokens=40, **changes)
     *tokens, _ = bench.runner.run(request, lambda: False)
@@ -28,45 +28,44 @@
     )
 
 
-def run_until_slow_stage_is_met(bench, **changes):
-    """Run requests until one was given the slow stage; give its attempts."""
+def run_until_slow_engine_is_used(bench, **changes):
+    """Run requests until one uses the slow engine; return its attempts."""
     for number in range(30):
-        run(bench, f'n{number}', **changes)
-        runs = bench.engines[SLOW].ledger
-        mine = {r.attempt for r in runs if r.request == f'n{number}'}
-        if mine:
+        run_request(bench, f'n{number}', **changes)
+        runs = bench.engines[SLOW_ENGINE].ledger
+        slow_attempts = {r.attempt for r in runs if r.request == f'n{number}'}
+        if slow_attempts:
             ledger = [r for e in bench.engines.values() for r in e.ledger]
             return {r.attempt for r in ledger if r.request == f'n{number}'}
-    raise AssertionError('the slow stage was never chosen')
+    raise AssertionError('the slow engine was never chosen')
 
 
-def test_chain_that_becomes_slow_is_left(bench):
-    """Symptom: sheets come minutes late from one degraded accelerator.
+def test_chain_that_becomes_slow_is_replaced(bench):
+    """A degraded accelerator does not delay answers by minutes.
 
-    Sequence: a stage becomes a hundredfold slower without failing.
-    Cause: nothing broke, so nothing was tried elsewhere.
+    A stage that becomes a hundred times slower without failing causes no
+    error that would lead to another attempt.
     """
     for number in range(8):
-        run(bench, f'warm{number}')
-    bench.channel.delays[SLOW] = 100 * STEP
-    attempts = run_until_slow_stage_is_met(bench)
+        run_request(bench, f'warm{number}')
+    bench.channel.delays[SLOW_ENGINE] = 100 * STEP_SECONDS
+    attempts = run_until_slow_engine_is_used(bench)
     assert attempts == {1, 2}
     assert bench.metrics.snapshot()['attempts.failed.slow'] >= 1
 
 
-def test_slow_chain_is_kept_by_what_may_not_repeat(bench):
+def test_slow_chain_is_kept_if_the_request_is_not_idempotent(bench):
     for number in range(8):
-        run(bench, f'warm{number}')
-    bench.channel.delays[SLOW] = 100 * STEP
-    attempts = run_until_slow_stage_is_met(bench, idempotent=False)
+        run_request(bench, f'warm{number}')
+    bench.channel.delays[SLOW_ENGINE] = 100 * STEP_SECONDS
+    attempts = run_until_slow_engine_is_used(bench, idempotent=False)
     assert attempts == {1}
 
 
 def test_retries_stop_when_the_budget_is_spent(bench):
-    """Symptom: an outage is made worse by three times the load.
+    """Retries don't multiply the load when every engine refuses.
 
-    Sequence: every head refuses; every request is tried again.
-    Cause: retries had no limit over all requests.
+    Without a budget over all requests, an outage triples the load.
     """
     bench.runner.budget.saved = 2.0
     bench.runner.budget.share = 0.0
@@ -74,7 +73,7 @@
     for number in range(6):
         bench.channel.faults.extend([fakes.Fault.REFUSE] * 4)
         with pytest.raises(exceptions.EndpointRefused):
-            run(bench, f'r{number}')
+            run_request(bench, f'r{number}')
         refusals += 4 - len(bench.channel.faults)
         bench.channel.faults.clear()
     assert refusals == 6 + 2
@@ -83,5 +82,5 @@
 def test_no_attempt_begins_after_the_deadline(bench):
     bench.channel.faults.append(fakes.Fault.LOSE_REQUEST)
     with pytest.raises(exceptions.Interrupted):
-        run(bench, 'late', deadline=bench.clock())
+        run_request(bench, 'late', deadline=bench.clock())
     assert not any(e.ledger for e in bench.engines.values())
--- a/packages/router/ibisring_router/tests/test_generating_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_generating_fuzz.py
@@ -1,8 +1,8 @@
 """Stateful fuzzing of model requests against a simple oracle.
 
-The real runner, dispatcher and stage engines; only the channel between
-them is a fake, which drops, repeats, crosses, delays, swaps and cuts.  The
-long run: ``IBISRING_FUZZ_EXAMPLES=5000 pytest -k fuzz``.
+Runner, dispatcher and stage engines are real.  The channel between them is
+a fake that drops, repeats, misdirects, delays and swaps events, and loses
+connections.  A long run: ``IBISRING_FUZZ_EXAMPLES=5000 pytest -k fuzz``.
 """
 
 import collections
@@ -23,7 +23,7 @@
 from ibisring_standins import engine
 
 EXAMPLES = int(os.environ.get('IBISRING_FUZZ_EXAMPLES', '150'))
-# It ends with the first example that notices.
+# A run with a broken guard ends with the first example that detects it.
 GUARD_EXAMPLES = 8 * EXAMPLES
 DERANDOMIZE = 'IBISRING_FUZZ_EXAMPLES' not in os.environ
 STEPS = 40
@@ -31,7 +31,7 @@
 
 
 class Live:
-    """A request under way, and what its caller has seen of it."""
+    """A running request, and the tokens that its caller received."""
 
     def __init__(self, request, source):
         self.request = request
@@ -239,10 +239,10 @@
     print(dict(TOTALS))
 
 
-# Each guard broken in turn: the oracle must notice every one of them.
+# Each of these breaks one guard; the oracle must detect every one.
 
 
-def ignore_attempts(monkeypatch):
+def accept_events_of_other_attempts(monkeypatch):
     monkeypatch.setattr(
         streams.Assembler,
         '_is_current',
@@ -250,7 +250,7 @@
     )
 
 
-def ignore_positions(monkeypatch):
+def accept_tokens_at_any_position(monkeypatch):
     def token(self, event):
         if not self._is_current(event):
             return streams.Verdict.DROP
@@ -260,7 +260,7 @@
     monkeypatch.setattr(streams.Assembler, 'token', token)
 
 
-def ignore_early_ends(monkeypatch):
+def accept_early_finish_events(monkeypatch):
     def finish(self, event):
         self.finished = True
         return streams.Verdict.FINISH
@@ -268,17 +268,17 @@
     monkeypatch.setattr(streams.Assembler, 'finish', finish)
 
 
-def retry_everything(monkeypatch):
+def retry_requests_that_are_not_idempotent(monkeypatch):
     decide = retries.decide
 
-    def careless(situation, budget):
+    def decide_as_if_idempotent(situation, budget):
         situation.idempotent = True
         return decide(situation, budget)
 
-    monkeypatch.setattr(retries, 'decide', careless)
+    monkeypatch.setattr(retries, 'decide', decide_as_if_idempotent)
 
 
-def always_claim_not_run(monkeypatch):
+def always_report_not_run(monkeypatch):
     monkeypatch.setattr(
         retries,
         'outcome_of',
@@ -286,17 +286,19 @@
     )
 
 
-def prefill_without_the_first_token(monkeypatch):
+def omit_the_first_delivered_token(monkeypatch):
     begin = generating.GenerationRunner._begin
 
-    def forgetful(self, progress, grant):
+    def begin_without_first_token(self, progress, grant):
         begin(self, progress, grant)
         del progress.order.delivered[:1]
 
-    monkeypatch.setattr(generating.GenerationRunner, '_begin', forgetful)
+    monkeypatch.setattr(
+        generating.GenerationRunner, '_begin', begin_without_first_token
+    )
 
 
-def leave_endpoints_held(monkeypatch):
+def never_free_endpoints(monkeypatch):
     monkeypatch.setattr(
         fakes.DirectPlacement, 'finish', lambda self, report: None
     )
@@ -339,20 +341,20 @@
 
 
 GUARDS = [
-    ignore_attempts,
-    ignore_positions,
-    ignore_early_ends,
-    retry_everything,
-    always_claim_not_run,
-    prefill_without_the_first_token,
-    leave_endpoints_held,
+    accept_events_of_other_attempts,
+    accept_tokens_at_any_position,
+    accept_early_finish_events,
+    retry_requests_that_are_not_idempotent,
+    always_report_not_run,
+    omit_the_first_delivered_token,
+    never_free_endpoints,
     never_cancel,
     stages_accept_any_position,
 ]
 
 
 @pytest.mark.parametrize('break_guard', GUARDS)
-def test_oracle_notices_a_broken_guard(break_guard, monkeypatch):
+def test_oracle_detects_a_broken_guard(break_guard, monkeypatch):
     break_guard(monkeypatch)
     with pytest.raises(AssertionError):
         run_machine(GUARD_EXAMPLES, (Phase.generate,))
