--- a/packages/router/ibisring_router/peering.py
+++ b/packages/router/ibisring_router/peering.py
@@ -1,4 +1,4 @@
-"""Speaking with peers: probes, pushed changes, snapshots and demands."""
+"""Calls between routers: probes, pushed changes, snapshots and demands."""
 
 __all__ = [
     'PeerState',
@@ -24,15 +24,15 @@
 
 LOG = logging.getLogger(__name__)
 PUSH_THREADS = 8
-VMS_A_ROUND = 12
+VMS_PER_ROUND = 12
 
 
 class PeerState(msgspec.Struct):
-    """The answer to a probe: all that a peer tells of itself.
+    """A peer's answer to a probe.
 
-    `demands` are tokens a second asked for there, by limited account;
-    `in_hand` is the mean number of requests that run or wait there, by
-    service or model version.
+    `demands` are the tokens per second requested there, by limited account;
+    `in_hand` is the mean number of outstanding requests there (running or
+    waiting), by service or model version.
     """
 
     router: str
@@ -46,26 +46,26 @@
 
 
 class Pushed(msgspec.Struct):
-    """Changes on their way to every router."""
+    """Changes that routers pass on until every router has them."""
 
     changes: list[records.Change]
 
 
-class Listed(msgspec.Struct):
+class ApplyVmList(msgspec.Struct):
     vms: list
 
 
-class Answered(msgspec.Struct):
+class RecordAnswer(msgspec.Struct):
     peer: str
     state: PeerState
 
 
-class Missed(msgspec.Struct):
+class RecordMiss(msgspec.Struct):
     peer: str
 
 
-class Read(msgspec.Struct):
-    """Calls a function with the membership and gives its result."""
+class Inspect(msgspec.Struct):
+    """Asks to call a function with the membership."""
 
     function: object
 
@@ -80,27 +80,27 @@
 
     def handlers(self):
         return {
-            Listed: self.on_listed,
-            Answered: self.on_answered,
-            Missed: self.on_missed,
-            Read: self.on_read,
+            ApplyVmList: self.on_apply_vm_list,
+            RecordAnswer: self.on_record_answer,
+            RecordMiss: self.on_record_miss,
+            Inspect: self.on_inspect,
         }
 
-    def on_listed(self, message):
+    def on_apply_vm_list(self, message):
         self.membership.apply_vm_list(message.vms)
 
-    def on_answered(self, message):
+    def on_record_answer(self, message):
         changed = self.membership.record_answer(
             message.peer, message.state, self.clock()
         )
         if changed:
             self._log_health(message.peer)
 
-    def on_missed(self, message):
+    def on_record_miss(self, message):
         if self.membership.record_miss(message.peer):
             self._log_health(message.peer)
 
-    def on_read(self, message):
+    def on_inspect(self, message):
         return message.function(self.membership)
 
     def _log_health(self, name):
@@ -109,7 +109,7 @@
 
 
 class Peering:
-    """This router's dealings with its peers.
+    """This router's client of its peers.
 
     Parameters
     ----------
@@ -152,15 +152,15 @@
         self.pool = concurrent.futures.ThreadPoolExecutor(PUSH_THREADS)
 
     def read(self, function):
-        """Give a function's result on the membership."""
-        return self.actor.ask(Read(function))
+        """Return `function(membership)`, called in the actor's thread."""
+        return self.actor.ask(Inspect(function))
 
     def alive(self):
-        """Give the peers that answer."""
+        """Return the peers that answer probes."""
         return self.read(lambda members: members.alive_peers())
 
     def state(self):
-        """Give what this router tells of itself."""
+        """Return this router's answer to a probe."""
         now = self.clock()
         demands, in_hand = self.placement.inspect(
             lambda dispatcher: (
@@ -182,47 +182,47 @@
     # Probing
 
     def refresh_vm_list_when_due(self):
-        """Read the VM list, the less often the longer it is.
+        """Read the VM list if it is due; a longer list is read less often.
 
-        At 380 VMs a read is some 40 KB; read every 2 s by each router it
-        would be more than all other control traffic together.
+        With 380 VMs a read is about 40 KB; if each router read it every 2 s,
+        this would exceed all other control traffic together.
         """
         size = self.read(lambda members: len(members.members))
         self.rounds += 1
-        if self.rounds % max(1, size // VMS_A_ROUND) == 0:
+        if self.rounds % max(1, size // VMS_PER_ROUND) == 0:
             self.refresh_vm_list()
 
     def refresh_vm_list(self):
-        """Read the VM list; keep the last one while it is unavailable."""
+        """Read the VM list; if that fails, the last one stays in use."""
         try:
             listed = self.vm_list.read()
         except exceptions.IbisringError:
             self.metrics.count('vms.unavailable')
             return
         self.listed_router_count = len(listed) or self.listed_router_count
-        self.actor.tell(Listed(listed))
+        self.actor.tell(ApplyVmList(listed))
 
     def probe(self):
-        """Probe every chosen peer once, and catch up with those ahead."""
+        """Probe each chosen peer once, and fetch changes from those ahead."""
         peers = self.read(lambda members: list(members.peers.values()))
-        list(self.pool.map(self._probe_one, peers))
+        list(self.pool.map(self._probe_peer, peers))
         alive = {peer.id for peer in self.alive()}
-        takers = self.read(lambda members: members.serving_routers())
+        serving = self.read(lambda members: members.serving_routers())
         self.placement.inspect(
-            lambda dispatcher: dispatcher.set_routers(alive, takers)
+            lambda dispatcher: dispatcher.set_routers(alive, serving)
         )
 
-    def _probe_one(self, peer):
+    def _probe_peer(self, peer):
         try:
             state = self.caller.call(
                 'GET', peer.address, '/peer/state', cls=PeerState
             )
         except (calls.CallError, exceptions.IbisringError):
-            self.actor.tell(Missed(peer.id))
+            self.actor.tell(RecordMiss(peer.id))
             return
-        self.actor.tell(Answered(peer.id, state))
+        self.actor.tell(RecordAnswer(peer.id, state))
         self.placement.inspect(
-            lambda dispatcher: _hear(dispatcher, peer.id, state)
+            lambda dispatcher: _receive_demands(dispatcher, peer.id, state)
         )
         if state.revision > self.keeper.revision:
             self.catch_up(peer.address)
@@ -230,19 +230,19 @@
     # Records
 
     def push(self, changes, skip=''):
-        """Tell the chosen peers of changes, without waiting.
+        """Push changes to the chosen peers, without waiting.
 
         Parameters
         ----------
         changes : list of records.Change
         skip : str
-            Address of the peer they came from.
+            Address of a peer that has them already.
         """
         for peer in self.read(lambda members: members.peers_not_dead()):
             if peer.address != skip:
-                self.pool.submit(self._push_one, peer.address, changes)
+                self.pool.submit(self._push_to_peer, peer.address, changes)
 
-    def _push_one(self, address, changes):
+    def _push_to_peer(self, address, changes):
         try:
             self.caller.call(
                 'POST',
@@ -251,16 +251,16 @@
                 Pushed(changes),
             )
         except (calls.CallError, exceptions.IbisringError):
-            # The peer's own poll of the head row will find the change.
+            # The peer finds the change when it next polls the head row.
             self.metrics.count('peers.push_failed')
 
     def receive(self, pushed):
-        """Take in pushed changes, and pass on what was news."""
+        """Apply pushed changes, and push on those that were new here."""
         before = self.keeper.revision
         after = self.keeper.apply_changes(pushed.changes)
         if after > before:
-            news = [c for c in pushed.changes if c.revision > before]
-            self.push(news)
+            new = [c for c in pushed.changes if c.revision > before]
+            self.push(new)
         last = max((c.revision for c in pushed.changes), default=-1)
         if last > after:
             self.pool.submit(self._follow)
@@ -272,10 +272,10 @@
             self.metrics.count('records.follow_failed')
 
     def catch_up(self, address):
-        """Fetch from a peer what this router lacks.
+        """Fetch the changes that are missing here from a peer.
 
-        This is how a router that starts during an outage of the table
-        service gets its configuration.
+        A router that starts during an outage of the table service gets its
+        configuration this way.
         """
         path = f'/peer/changes?since={self.keeper.revision}'
         try:
@@ -284,11 +284,11 @@
             )
             self.keeper.apply_changes(found.changes)
         except exceptions.NotFound:
-            self._catch_up_whole(address)
+            self._fetch_snapshot(address)
         except (calls.CallError, exceptions.IbisringError):
             self.metrics.count('peers.catch_up_failed')
 
-    def _catch_up_whole(self, address):
+    def _fetch_snapshot(self, address):
         try:
             snapshot = self.caller.call(
                 'GET',
@@ -306,7 +306,7 @@
         self.actor.stop()
 
 
-def _hear(dispatcher, peer, state):
+def _receive_demands(dispatcher, peer, state):
     dispatcher.limits.receive_demands(peer, state.demands)
     dispatcher.shares.receive_demands(peer, state.in_hand)
 
@@ -321,7 +321,7 @@
     caller,
     clock=time.monotonic,
 ):
-    """Make the peering of a router."""
+    """Make the client of a router's peers."""
     return Peering(
         settings,
         keeper,
--- a/packages/router/ibisring_router/reconciling.py
+++ b/packages/router/ibisring_router/reconciling.py
@@ -1,4 +1,4 @@
-"""Holding leases and bringing engines to what records say."""
+"""Holding leases, and sending engines orders to match their records."""
 
 __all__ = ['LeaseActor', 'Reconciler', 'make_reconciler']
 
@@ -18,7 +18,7 @@
 
 LOG = logging.getLogger(__name__)
 SHARE_COUNT = 16
-RELEASE_TRIES = 3
+MAX_RELEASE_TRIES = 3
 LEASE_PREFIX = 'leases/'
 TABLE_ERRORS = (
     exceptions.PlatformUnavailable,
@@ -28,13 +28,13 @@
 
 
 class RunRound(msgspec.Struct):
-    """Asks for one round of reading, renewing and taking leases."""
+    """Asks to read, renew and acquire leases once."""
 
     members: list[str]
 
 
 class ReleaseLeases(msgspec.Struct):
-    """Hands all held leases over."""
+    """Asks to release all leases of this process."""
 
 
 class GetLeases(msgspec.Struct):
@@ -49,9 +49,9 @@
     own_id : str
     seconds : float
     table : tables.TableService
-        For rounds, which may be put off.
+        Used for rounds, which are repeated and may be delayed.
     release_table : tables.TableService
-        For the release, which comes once.
+        Used for the release at shutdown, which is not repeated.
     clock : callable
     """
 
@@ -74,26 +74,26 @@
         }
 
     def on_round(self, message):
-        mine = [
+        own_shares = [
             share
             for share, lease in self.leases.items()
-            if self._contends(share, message.members)
+            if self._is_contender(share, message.members)
             or lease.holds(self.clock())
         ]
-        self._observe(self.table, mine)
-        for share in mine:
-            self._settle(share, message.members)
+        self._read_rows(self.table, own_shares)
+        for share in own_shares:
+            self._acquire_or_renew(share, message.members)
 
     def on_release(self, message):
-        """Release this process's rows; give the shares left unreleased.
+        """Release this process's rows; return the shares not released.
 
-        A write that was lost is seen by the next try's reading, and redone.
+        Each try reads the rows again, so a lost write is repeated.
         """
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_RELEASE_TRIES):
             if not self._own_terms():
                 break
             try:
-                self._observe(self.release_table, self._own_terms())
+                self._read_rows(self.release_table, self._own_terms())
             except TABLE_ERRORS:
                 continue
             for share in self._own_terms():
@@ -103,21 +103,21 @@
     def on_get_leases(self, message):
         return self.leases
 
-    def _contends(self, share, members):
+    def _is_contender(self, share, members):
         return self.own_id in leases.contenders(share, members)
 
-    def _observe(self, table, shares):
-        """Read the rows of some shares and take them in."""
+    def _read_rows(self, table, shares):
+        """Read the rows of some shares and update their leases."""
         if not shares:
             return
         rows = table.read([_row_key(share) for share in shares])
         for share in shares:
             row = rows.get(_row_key(share))
-            found, version = None, 0
+            stored, version = None, 0
             if row is not None:
-                found = msgspec.convert(row.value, leases.LeaseRow)
+                stored = msgspec.convert(row.value, leases.LeaseRow)
                 version = row.version
-            self.leases[share].observe(found, version, self.clock())
+            self.leases[share].observe(stored, version, self.clock())
 
     def _own_terms(self):
         return [s for s, lease in self.leases.items() if lease.is_own_term()]
@@ -129,31 +129,33 @@
         if version is not None:
             lease.observe(row, version, self.clock())
 
-    def _settle(self, share, members):
+    def _acquire_or_renew(self, share, members):
         lease = self.leases[share]
         now = self.clock()
-        intent = lease.intent(now, self._contends(share, members))
+        intent = lease.intent(now, self._is_contender(share, members))
         if intent is leases.Intent.WAIT:
             return
-        wanted = lease.next_row(intent)
+        desired = lease.next_row(intent)
         sent_at = self.clock()
-        version = self._write(self.table, share, wanted, lease.version)
+        version = self._write(self.table, share, desired, lease.version)
         if version is None:
             return
-        lease.written(wanted, version, sent_at, intent)
+        lease.written(desired, version, sent_at, intent)
         if intent is leases.Intent.ACQUIRE:
-            logs.event(LOG, 'lease_taken', share=share, fencing=wanted.fencing)
+            logs.event(
+                LOG, 'lease_taken', share=share, fencing=desired.fencing
+            )
 
     def _write(self, table, share, row, version):
-        """Write a lease row; give its new version, or None."""
+        """Write a lease row; return its new version, None after an error."""
         key = _row_key(share)
         try:
             written = table.commit(
                 {key: version}, {key: msgspec.to_builtins(row)}
             )
         except TABLE_ERRORS:
-            # A write that took effect unseen is found by the next round,
-            # and waited out like another router's.
+            # If it took effect nevertheless, the next round reads the row and
+            # waits for it to expire, as for another router's row.
             return None
         return written[key]
 
@@ -163,7 +165,7 @@
 
 
 class Reconciler:
-    """Sends orders for the shares whose leases this router holds.
+    """Sends orders to the engines whose leases this router holds.
 
     Parameters
     ----------
@@ -175,7 +177,7 @@
     caller : calls.Caller
         Its read timeout must not exceed ``orders.ORDER_TIMEOUT_SECONDS``.
     members : callable
-        Gives the ids of routers that answer, this one included.
+        Returns the ids of the routers that answer, including this one.
     metrics : metrics.Metrics
     clock : callable
     """
@@ -204,11 +206,11 @@
         self.held = set()
 
     def run_round(self):
-        """Renew and take leases, then put engines right."""
+        """Renew and acquire leases, then send the orders that are due."""
         try:
             self.actor.ask(RunRound(self.members()))
         except TABLE_ERRORS:
-            # Leases lapse by themselves; routing goes on without orders.
+            # Leases expire by themselves; routing goes on without orders.
             self.metrics.count('leases.table_unavailable')
         configuration = self.keeper.current
         if configuration is None:
@@ -227,32 +229,32 @@
         if status is None:
             return
         idle = self.idle.observe(endpoint, status, self.clock())
-        wanted = orders.next_order(endpoint, status, configuration, idle)
-        if wanted is None or not self._within_rate(share, wanted):
+        desired = orders.next_order(endpoint, status, configuration, idle)
+        if desired is None or not self._fits_fetch_budget(share, desired):
             return
         order = engines.EngineOrder(
             id=uuid.uuid4().hex,
-            kind=wanted.kind,
+            kind=desired.kind,
             fencing=lease.row.fencing,
-            model=wanted.model,
-            version=wanted.version,
-            first_layer=wanted.first_layer,
-            last_layer=wanted.last_layer,
-            weights=wanted.weights,
-            adapters=wanted.adapters,
-            role=wanted.role,
+            model=desired.model,
+            version=desired.version,
+            first_layer=desired.first_layer,
+            last_layer=desired.last_layer,
+            weights=desired.weights,
+            adapters=desired.adapters,
+            role=desired.role,
         )
         if orders.may_send(endpoint, lease, self.clock()):
             self._send(endpoint, order)
 
-    def _within_rate(self, share, wanted):
-        if not wanted.megabytes:
+    def _fits_fetch_budget(self, share, desired):
+        if not desired.megabytes:
             return True
         try:
             rate = self.weight_store.limit()
         except exceptions.IbisringError:
             return False
-        return self.budget.take(share, wanted.megabytes, rate, self.clock())
+        return self.budget.take(share, desired.megabytes, rate, self.clock())
 
     def _send(self, endpoint, order):
         self.metrics.count(f'orders.{order.kind}')
@@ -273,7 +275,7 @@
                 fresh=True,
             )
         except (calls.CallError, exceptions.IbisringError) as error:
-            # The status is read again before the next order.
+            # The status is polled again before the next order.
             self.metrics.count('orders.failed')
             logs.event(
                 LOG,
@@ -285,22 +287,22 @@
         self.poller.statuses[endpoint.name] = report.status
 
     def holds_share(self, share):
-        """Say whether this router holds a share's lease now."""
+        """Return whether the last round found a share's lease held here."""
         return share in self.held
 
     def holds_lease_of(self, name):
-        """Say whether this router holds the lease of an endpoint's share."""
+        """Return whether the lease of an endpoint's share is held here."""
         return self.holds_share(leases.share_of(name, SHARE_COUNT))
 
     def release(self):
-        """Hand all leases over, for a graceful shutdown.
+        """Release all leases, for a graceful shutdown.
 
-        What can't be handed over, others wait out.
+        Other routers wait until those that could not be released expire.
         """
-        left = self.actor.ask(ReleaseLeases())
-        if left:
-            self.metrics.count('leases.not_released', len(left))
-            logs.event(LOG, 'leases_not_released', shares=left)
+        unreleased = self.actor.ask(ReleaseLeases())
+        if unreleased:
+            self.metrics.count('leases.not_released', len(unreleased))
+            logs.event(LOG, 'leases_not_released', shares=unreleased)
 
     def stop(self):
         self.actor.stop()
@@ -317,7 +319,7 @@
     caller,
     clock=time.monotonic,
 ):
-    """Make the reconciler of a router."""
+    """Start the lease actor and return the reconciler of a router."""
     actor = LeaseActor.start(
         settings.router_id,
         settings.lease_seconds,
--- a/packages/router/ibisring_router/recordkeeping.py
+++ b/packages/router/ibisring_router/recordkeeping.py
@@ -1,7 +1,7 @@
-"""Records on one router: accepting submissions and following the head.
+"""Records on one router: submissions, and changes from the table service.
 
-The table service alone keeps records.  The actor here owns this router's
-copy and publishes it as an immutable configuration.
+Records are stored only in the table service.  The actor here owns this
+router's copy and publishes it as an immutable configuration.
 """
 
 __all__ = [
@@ -23,7 +23,7 @@
 import msgspec
 
 LOG = logging.getLogger(__name__)
-COMMIT_TRIES = 4
+MAX_TRIES = 4
 
 
 class Snapshot(msgspec.Struct):
@@ -47,38 +47,38 @@
     snapshot: Snapshot
 
 
-class ChangesSince(msgspec.Struct):
+class GetChanges(msgspec.Struct):
     revision: int
 
 
-class TakeSnapshot(msgspec.Struct):
+class GetSnapshot(msgspec.Struct):
     pass
 
 
 class RecordsActor(actors.MessageActor):
-    """Owns the records in force.
+    """Owns the records that this router applies.
 
     Parameters
     ----------
-    published : callable
-        Given each new `configuration.Configuration`.
+    on_configuration : callable
+        Called with each new `configuration.Configuration`.
     """
 
-    def __init__(self, published):
+    def __init__(self, on_configuration):
         super().__init__()
-        self.published = published
+        self.on_configuration = on_configuration
         self.active_records = revisions.make_records()
 
     def handlers(self):
         return {
             ApplyChanges: self.on_apply_changes,
             ApplySnapshot: self.on_apply_snapshot,
-            ChangesSince: self.on_changes_since,
-            TakeSnapshot: self.on_take_snapshot,
+            GetChanges: self.on_get_changes,
+            GetSnapshot: self.on_get_snapshot,
         }
 
     def on_apply_changes(self, message):
-        """Apply what follows; the answer is the revision in force."""
+        """Apply changes that follow on; return the active revision."""
         before = self.active_records.revision
         for change in message.changes:
             self.active_records.apply_change(change)
@@ -92,10 +92,10 @@
         self._publish(before)
         return self.active_records.revision
 
-    def on_changes_since(self, message):
+    def on_get_changes(self, message):
         return self.active_records.changes_since(message.revision)
 
-    def on_take_snapshot(self, message):
+    def on_get_snapshot(self, message):
         stored = list(self.active_records.stored.values())
         return Snapshot(self.active_records.revision, stored)
 
@@ -109,21 +109,25 @@
             revision=configuration.revision,
             unreadable=sorted(configuration.unreadable),
         )
-        self.published(configuration)
+        self.on_configuration(configuration)
 
 
 class RecordKeeper:
-    """How the rest of the router reads, submits and follows records.
+    """Reads, submits and follows records; client of the records actor.
 
     Parameters
     ----------
-    actor : pykka.ActorRef
     table : tables.TableService
     metrics : metrics.Metrics
 
     Attributes
     ----------
     current : configuration.Configuration or None
+        The active configuration.
+    listeners : list of callable
+        Called with each new configuration.
+    uncertain_ids : set of str
+        Ids of submissions whose commit may have taken effect.
     """
 
     def __init__(self, table, metrics):
@@ -131,22 +135,22 @@
         self.metrics = metrics
         self.current = None
         self.listeners = []
-        self.doubted = set()
-        self.actor = RecordsActor.start(self._published)
+        self.uncertain_ids = set()
+        self.actor = RecordsActor.start(self._set_current)
 
-    def _published(self, configuration):
+    def _set_current(self, configuration):
         self.current = configuration
         for listener in self.listeners:
             listener(configuration)
 
     @property
     def revision(self):
-        """The revision in force here, -1 for none."""
+        """The active revision, -1 for none."""
         current = self.current
         return -1 if current is None else current.revision
 
     def require(self):
-        """Give the configuration in force.
+        """Return the active configuration.
 
         Raises
         ------
@@ -154,25 +158,25 @@
         """
         if self.current is None:
             raise exceptions.NotReady(
-                'no configuration is in force here yet', retry_after=1.0
+                'this router has no configuration yet', retry_after=1.0
             )
         return self.current
 
     def apply_changes(self, changes):
-        """Apply changes that follow on; give the revision in force."""
+        """Apply changes that follow on; return the active revision."""
         return self.actor.ask(ApplyChanges(changes))
 
     def apply_snapshot(self, snapshot):
-        """Take a newer snapshot; give the revision in force."""
+        """Apply a snapshot if it is newer; return the active revision."""
         return self.actor.ask(ApplySnapshot(snapshot))
 
     def changes_since(self, revision):
-        """Give the changes after a revision, or None."""
-        return self.actor.ask(ChangesSince(revision))
+        """Return the changes after a revision, None if not kept."""
+        return self.actor.ask(GetChanges(revision))
 
     def snapshot(self):
-        """Give all records in force."""
-        return self.actor.ask(TakeSnapshot())
+        """Return a snapshot of the active records."""
+        return self.actor.ask(GetSnapshot())
 
     def stop(self):
         self.actor.stop()
@@ -180,7 +184,7 @@
     # Following the table service
 
     def follow(self):
-        """Read the head row, and fetch what this router lacks.
+        """Read the head row, and fetch changes that are missing here.
 
         Returns
         -------
@@ -196,7 +200,8 @@
         head = msgspec.convert(row.value, records.Head) if row else None
         revision = head.revision if head is not None else 0
         if revision < self.revision:
-            # A restored table service: keep what is in force, and tell.
+            # The table service was restored from a backup; the newer records
+            # stay active.
             self.metrics.count('records.head_behind')
         if revision > self.revision:
             self._fetch(revision)
@@ -217,12 +222,12 @@
         self._fetch_all()
 
     def _fetch_all(self):
-        """Read every record, at a head that did not move meanwhile.
+        """Read every record, all at the same head revision.
 
-        Pages are read one by one, so a change may come between them; the
-        head is read before and after, and a moved head starts over.
+        A change may be committed between the pages of a scan, so the head is
+        read before and after, and the scan is repeated if it changed.
         """
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_TRIES):
             before = self._head_revision()
             rows = self.table.scan_all(records.RECORD_PREFIX)
             if self._head_revision() == before:
@@ -240,7 +245,7 @@
     # Submissions
 
     def submit(self, submission):
-        """Have the table service keep a submission.
+        """Commit a submission to the table service.
 
         Parameters
         ----------
@@ -249,48 +254,51 @@
         Returns
         -------
         tuple of (records.Accepted, records.Change or None)
-            The change is None if an earlier try had been accepted.
+            The change is None if the submission was accepted before.
 
         Raises
         ------
         InvalidRecord, Conflict
         NotAccepted
-            The table service certainly does not hold it.
+            The table service did not accept it.
         SubmissionUnknown
-            It may; `find_accepted` will tell.
+            It may have been accepted; query `find_accepted`.
         """
         submitting.check(submission)
         try:
             return self._try_to_submit(submission)
         except exceptions.NotAccepted as error:
-            if submission.id not in self.doubted:
+            if submission.id not in self.uncertain_ids:
                 raise
-            # An earlier commit lost its answer and may yet take effect.
+            # An earlier commit whose answer was lost may still take effect.
             raise exceptions.SubmissionUnknown(
                 error.detail, submission=submission.id
             ) from error
         finally:
-            self.doubted.discard(submission.id)
+            self.uncertain_ids.discard(submission.id)
 
     def _try_to_submit(self, submission):
-        seen = None
-        for _ in range(COMMIT_TRIES):
-            rows = self._read_for(submission)
-            accepted = self._accepted_before(submission, rows)
+        read_revisions = None
+        for _ in range(MAX_TRIES):
+            rows = self._read_rows(submission)
+            accepted = self._find_accepted_row(submission, rows)
             if accepted is not None:
                 return accepted, None
             values = {key: row.value for key, row in rows.items()}
-            seen = self._check_unmoved(submission, values, seen)
+            read_revisions = self._check_revisions(
+                submission, values, read_revisions
+            )
             change = submitting.prepare(submission, values)
             if self._commit(submission, change, rows):
                 self.apply_changes([change])
                 accepted = records.Accepted(submission.id, change.revision)
                 return accepted, change
         raise exceptions.NotAccepted(
-            'other submissions kept coming first', submission=submission.id
+            f'other submissions were committed first {MAX_TRIES} times',
+            submission=submission.id,
         )
 
-    def _read_for(self, submission):
+    def _read_rows(self, submission):
         try:
             return self.table.read(submitting.rows_to_read(submission))
         except exceptions.PlatformUnavailable as error:
@@ -298,14 +306,14 @@
                 error.detail, submission=submission.id
             ) from error
 
-    def _accepted_before(self, submission, rows):
+    def _find_accepted_row(self, submission, rows):
         row = rows.get(records.submission_key(submission.id))
         if row is None:
             return None
         return msgspec.convert(row.value, records.Accepted)
 
-    def _check_unmoved(self, submission, values, seen):
-        """Refuse if another operator's change came in between.
+    def _check_revisions(self, submission, values, read_revisions):
+        """Refuse if another submission changed a record since the first try.
 
         Raises
         ------
@@ -317,17 +325,17 @@
             value = values.get(key)
             found[key] = value['revision'] if value else 0
         for key, revision in found.items():
-            if seen is not None and seen[key] != revision:
+            if read_revisions is not None and read_revisions[key] != revision:
                 raise exceptions.Conflict(
-                    f'{key} moved to revision {revision} while this was'
-                    f' submitted on revision {seen[key]}',
+                    f'{key} changed to revision {revision} while this was'
+                    f' submitted on revision {read_revisions[key]}',
                     in_force=revision,
-                    submitted_on=seen[key],
+                    submitted_on=read_revisions[key],
                 )
         return found
 
     def _commit(self, submission, change, rows):
-        """Commit; False if some row moved and all has to be read anew."""
+        """Commit a change; return False if a row changed since it was read."""
         expected = {
             key: rows[key].version if key in rows else 0
             for key in submitting.rows_to_read(submission)
@@ -342,11 +350,11 @@
                 error.detail, submission=submission.id
             ) from error
         except exceptions.PlatformAnswerLost as error:
-            return self._settle_commit(submission, error)
+            return self._resolve_commit(submission, error)
 
-    def _settle_commit(self, submission, cause):
-        """Find out whether a commit whose answer was lost took effect."""
-        self.doubted.add(submission.id)
+    def _resolve_commit(self, submission, cause):
+        """Return whether a commit whose answer was lost took effect."""
+        self.uncertain_ids.add(submission.id)
         try:
             accepted = self.find_accepted(submission.id)
         except exceptions.PlatformUnavailable as error:
@@ -356,7 +364,7 @@
         return accepted is not None
 
     def find_accepted(self, submission_id):
-        """Give the `records.Accepted` of a submission, or None.
+        """Return the `records.Accepted` of a submission, or None.
 
         Raises
         ------
@@ -370,5 +378,5 @@
 
 
 def start_records(table, metrics):
-    """Start the records actor and give its `RecordKeeper`."""
+    """Start the records actor and return its `RecordKeeper`."""
     return RecordKeeper(table, metrics)
--- a/packages/router/ibisring_router/tests/test_configuration.py
+++ b/packages/router/ibisring_router/tests/test_configuration.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def fleet(site):
-    # The pollers are too slow to matter: what spreads here was pushed.
+    # Polls are too rare to matter here: changes spread by pushes only.
     routers = builders.start_fleet(
         site, 3, poll_seconds=60.0, probe_seconds=60.0, status_seconds=60.0
     )
@@ -54,14 +54,14 @@
 
 
 def wait_for(router, revision):
-    """Wait until a router has a revision; the push comes in a thread."""
+    """Wait until a router has a revision; it is pushed by another thread."""
     ready = concurrent.futures.Future()
 
-    def look(configuration):
+    def check_revision(configuration):
         if configuration.revision >= revision and not ready.done():
             ready.set_result(True)
 
-    router.keeper.listeners.append(look)
+    router.keeper.listeners.append(check_revision)
     if router.keeper.revision < revision:
         ready.result(timeout=10)
 
@@ -73,7 +73,7 @@
         assert router.keeper.current.models['otro'].layers == 3
 
 
-def test_second_operator_on_the_same_revision_is_refused(site, fleet):
+def test_second_submission_on_the_same_revision_is_refused(site, fleet):
     first = submit(fleet[0], model(3, revision=0))
     with pytest.raises(exceptions.Conflict) as caught:
         submit(fleet[1], model(4, revision=0), name='s2')
@@ -85,11 +85,10 @@
     assert submit(fleet[1], model(3)) == first
 
 
-def test_lost_answer_of_the_table_is_settled(site, fleet):
-    """Symptom: an operator is told 'failed', and the change is in force.
+def test_lost_answer_of_a_commit_is_resolved_by_reading(site, fleet):
+    """A submission is not reported as failed if its commit took effect.
 
-    Sequence: the table service keeps a submission and loses its answer.
-    Cause: a lost answer was taken for a refusal.
+    The table service commits the submission, but its answer is lost.
     """
     site.platform.table.faults = faults.PlatformFaults(lose_answers=1)
     revision = submit(fleet[0], model(3))
@@ -103,8 +102,8 @@
     assert fleet[0].keeper.revision == 1
 
 
-class LosingTable(memory.MemoryTable):
-    """Loses every commit's answer, and is down right afterwards."""
+class AnswerLosingTable(memory.MemoryTable):
+    """Loses the answer to every commit, and is down after it."""
 
     def commit(self, expected, puts, deletes=()):
         super().commit(expected, puts, deletes)
@@ -112,14 +111,13 @@
         raise exceptions.PlatformAnswerLost('lost')
 
 
-def test_lost_answer_and_then_an_outage_is_unknown():
-    """Symptom: an operator submits again, and the change comes twice.
+def test_lost_answer_followed_by_an_outage_is_unknown():
+    """A submission that is repeated after an unknown outcome applies once.
 
-    Sequence: the commit's answer is lost, and the table goes down before
-    it can be read back.
-    Cause: nobody can say whether the submission was kept.
+    The commit's answer is lost, and the table goes down before the row can
+    be read, so it is unknown whether the submission was accepted.
     """
-    table = LosingTable()
+    table = AnswerLosingTable()
     keeper = recordkeeping.start_records(table, builders.metrics())
     submission = records.Submission('s1', [model(3)])
     with pytest.raises(exceptions.SubmissionUnknown):
@@ -130,7 +128,7 @@
     keeper.stop()
 
 
-def test_v1_write_keeps_what_only_v2_knows(site, fleet):
+def test_v1_write_keeps_fields_of_v2(site, fleet):
     name = 'modelo-cocina'
     before = fleet[0].keeper.current.models[name]
     submit(
@@ -152,12 +150,8 @@
     assert row in kept
 
 
-def test_older_revisions_never_come_back(site, fleet):
-    """Symptom: a change is undone by itself.
-
-    Sequence: a paused peer, or a restored table, offers old records.
-    Cause: whatever came last was taken for the newest.
-    """
+def test_older_revisions_are_never_applied(site, fleet):
+    """Old records from a paused peer or a restored table undo no change."""
     old = fleet[0].keeper.snapshot()
     revision = submit(fleet[0], model(3))
     fleet[0].keeper.apply_snapshot(old)
@@ -167,7 +161,7 @@
     assert fleet[0].keeper.revision == revision
 
 
-def test_new_router_comes_up_from_peers_during_an_outage(site, fleet):
+def test_new_router_gets_its_records_from_peers_during_an_outage(site, fleet):
     revision = submit(fleet[0], model(3))
     site.platform.table.faults = faults.PlatformFaults(down=True)
     late = builders.start_router(site, router_id='router-9')
@@ -178,7 +172,7 @@
         late.stop()
 
 
-def test_router_without_configuration_serves_nobody(site):
+def test_router_without_configuration_refuses_requests(site):
     site.platform.table.faults = faults.PlatformFaults(down=True)
     alone = builders.start_router(site)
     try:
@@ -196,7 +190,7 @@
     )
 
 
-def test_leaving_endpoint_gets_no_new_work(site, fleet):
+def test_leaving_endpoint_gets_no_new_requests(site, fleet):
     leaving = 'etiquetado-0'
     record = endpoint_record(fleet[0], leaving, state='leaving')
     revision = submit(fleet[0], record)
@@ -209,8 +203,8 @@
     assert len(site.services['etiquetado-1'].ledger) == 24
 
 
-def test_joining_engine_is_loaded_by_order_then_used(site, fleet):
-    """An empty engine gets its layers by an order, and work only after."""
+def test_joining_engine_gets_requests_after_it_was_loaded(site, fleet):
+    """An empty engine gets requests only after an order loaded its layers."""
     name = 'modelo-cocina-00'
     status = site.engines[name].engine.status
     status.loaded = False
@@ -231,7 +225,7 @@
 def test_leaving_engine_is_unloaded_and_loaded_when_it_serves_again(
     site, fleet, monkeypatch
 ):
-    """An engine that left gives up its layers, and comes back by order."""
+    """A leaving engine is unloaded, and loaded again if it serves again."""
     name = 'modelo-cocina-00'
     status = site.engines[name].engine.status
     submit_everywhere(fleet, endpoint_record(fleet[0], name, state='leaving'))
@@ -269,31 +263,31 @@
 
 
 def reconcile(fleet):
-    """Read every status and send the orders that follow."""
+    """Poll the status of every engine and send the orders that are due."""
     for router in fleet:
         router.poller.settled.clear()
         router.poller.poll()
         router.reconciler.run_round()
 
 
-def test_leases_move_when_they_are_handed_over(site, fleet):
+def test_released_leases_are_acquired_by_other_routers(site, fleet):
     for router in fleet:
         router.reconciler.run_round()
     held = holders(fleet)
     assert len(held) == reconciling.SHARE_COUNT
-    leaver = fleet[held[0]]
-    leaver.readiness.draining = True
-    leaver.reconciler.release()
-    others = [router for router in fleet if router is not leaver]
+    leaving = fleet[held[0]]
+    leaving.readiness.draining = True
+    leaving.reconciler.release()
+    others = [router for router in fleet if router is not leaving]
     for router in others:
         router.peering.probe()
         router.reconciler.run_round()
     assert set(holders(fleet)) == set(range(reconciling.SHARE_COUNT))
-    assert leaver not in {fleet[i] for i in holders(fleet).values()}
+    assert leaving not in {fleet[i] for i in holders(fleet).values()}
 
 
 def holders(fleet):
-    """Give the index of the holding router by share."""
+    """Return the index of the router that holds each share's lease."""
     found = {}
     for index, router in enumerate(fleet):
         leases = router.reconciler.actor.ask(builders.held_leases())
@@ -304,7 +298,7 @@
     return found
 
 
-def test_another_vm_at_an_old_address_is_not_the_old_one():
+def test_answer_of_another_router_at_an_old_address_marks_the_peer_dead():
     members = membership.make_membership('me', 8)
     members.apply_vm_list(
         [vms.Vm('me', 'a:1', 'd'), vms.Vm('old', 'a:2', 'd')]
@@ -314,33 +308,37 @@
     assert members.peers['old'].health is membership.Health.DEAD
 
 
-def test_subsets_cover_every_endpoint_and_keep_full():
-    """1,200 endpoints, 380 routers: few for each, none for nobody."""
+def test_subsets_are_full_and_cover_every_endpoint():
+    """With 1,200 endpoints and 380 routers, each router uses only a few."""
     current = builders.many_endpoints(1200)
-    every = list(current.endpoints.values())
+    endpoints = list(current.endpoints.values())
     used = set()
     for number in range(380):
-        chosen = subsets.choose_subset(f'r{number}', every)
+        chosen = subsets.choose_subset(f'r{number}', endpoints)
         assert len(chosen) == 3 * subsets.SUBSET_SIZE
         used.update(endpoint.name for endpoint in chosen)
-    assert len(used) == len(every)
+    assert len(used) == len(endpoints)
 
 
-def test_settled_endpoint_is_polled_by_turns():
-    turns = statuspolling.poll_cycle_rounds(8)
+def test_ready_endpoint_is_polled_once_per_cycle():
+    cycle_rounds = statuspolling.poll_cycle_rounds(8)
     rounds = [
-        n for n in range(30) if statuspolling.is_due('e', n, True, turns)
+        n
+        for n in range(30)
+        if statuspolling.is_due('e', n, True, cycle_rounds)
     ]
     assert len(rounds) == 3
-    assert all(statuspolling.is_due('e', n, False, turns) for n in range(30))
+    assert all(
+        statuspolling.is_due('e', n, False, cycle_rounds) for n in range(30)
+    )
 
 
-def test_fingers_reach_everybody_in_few_hops():
+def test_fingers_reach_every_router_in_few_hops():
     ids = [f'r{n}' for n in range(380)]
     reached, hops = {'r0'}, 0
     while len(reached) < len(ids):
-        told = {f for r in reached for f in membership.fingers(r, ids, 8)}
-        reached |= told
+        informed = {f for r in reached for f in membership.fingers(r, ids, 8)}
+        reached |= informed
         hops += 1
     assert hops <= 9
 
@@ -356,12 +354,11 @@
 )
 
 
-def test_only_peers_are_answered_on_peer_paths(fleet):
-    """Symptom: an alert went out twice; no router had been restarted.
+def test_peer_paths_require_a_peer_key(fleet):
+    """Other hosts can neither release claims nor push records.
 
-    Sequence: something else on the network takes back a claim, or pushes a
-    record, before the repeat arrives.
-    Cause: whoever reached the control address was taken for a router.
+    Without the check, a host on the network could release the claim of an
+    alert before its repeat arrives, and the alert would run twice.
     """
     for key in ('', 'clave-que-no-vale'):
         caller = calls.make_caller(key=key)
@@ -370,8 +367,8 @@
                 caller.call(method, fleet[0].control.address, path, {})
 
 
-def test_peer_keys_are_changed_router_by_router(site):
-    """Old and new routers know each other while the key is being changed."""
+def test_peer_keys_can_be_changed_one_router_at_a_time(site):
+    """Routers with the old and the new key accept each other meanwhile."""
     first, second = 'k' * 16, 'l' * 16
     routers = [
         builders.start_router(site, router_id=name, peer_keys=keys)
--- a/packages/router/ibisring_router/tests/test_reconciling.py
+++ b/packages/router/ibisring_router/tests/test_reconciling.py
@@ -1,4 +1,4 @@
-"""A router that leaves hands over every lease that is still its own."""
+"""A router that leaves releases all leases whose rows are still its own."""
 
 import msgspec
 import pytest
@@ -8,12 +8,12 @@
 from ibisring_standins import faults
 from ibisring_standins import memory
 
-SECONDS = 6.0
-LAPSED = 2 * SECONDS
+LEASE_SECONDS = 6.0
+AFTER_EXPIRY = 2 * LEASE_SECONDS
 
 
 class Clock:
-    """A clock moved by hand."""
+    """A clock that the test sets."""
 
     def __init__(self):
         self.now = 0.0
@@ -34,17 +34,17 @@
 
 @pytest.fixture
 def start(table, clock):
-    """Start lease actors, and stop them in the end."""
+    """Return a function that starts lease actors; they stop after the test."""
     started = []
 
-    def start_one(own_id):
+    def start_actor(own_id):
         actor = reconciling.LeaseActor.start(
-            own_id, SECONDS, table, table, clock
+            own_id, LEASE_SECONDS, table, table, clock
         )
         started.append(actor)
         return actor
 
-    yield start_one
+    yield start_actor
     for actor in started:
         actor.stop()
 
@@ -54,60 +54,62 @@
     return {msgspec.convert(r.value, leases.LeaseRow).holder for r in rows}
 
 
-def test_lapsed_leases_are_handed_over(table, clock, start):
-    """Symptom: after a clean shutdown no router orders for a lease's time.
+def test_expired_leases_are_released(table, clock, start):
+    """A shutdown releases leases that expired during its last writes.
 
-    Sequence: SIGTERM; the last write of the burn report takes longer than
-    the leases last; the release comes after it.
-    Cause: only leases still held were released.
+    If the last write of the burn report takes longer than a lease lasts, and
+    only held leases are released, other routers wait for a full lease before
+    they send orders.
     """
-    leaver = start('leaver')
-    leaver.ask(reconciling.RunRound(['leaver']))
+    leaving = start('leaver')
+    leaving.ask(reconciling.RunRound(['leaver']))
     assert holders(table) == {'leaver'}
-    clock.now = LAPSED
-    leaver.ask(reconciling.ReleaseLeases())
+    clock.now = AFTER_EXPIRY
+    leaving.ask(reconciling.ReleaseLeases())
     assert holders(table) == {leases.NO_HOLDER}
-    stayer = start('stayer')
-    stayer.ask(reconciling.RunRound(['stayer']))
+    remaining = start('stayer')
+    remaining.ask(reconciling.RunRound(['stayer']))
     assert holders(table) == {'stayer'}
 
 
 def test_release_after_a_lost_answer(table, start):
-    """Symptom: some leases of a router that left are waited out.
+    """Leases are released although the answer to a renewal was lost.
 
-    Sequence: the answer to its last renewal is lost; it releases.
-    Cause: it wrote over a version that had gone.
+    The renewal changed the row's version, so a release that expects the
+    version known before it would fail.
     """
-    leaver = start('leaver')
-    leaver.ask(reconciling.RunRound(['leaver']))
+    leaving = start('leaver')
+    leaving.ask(reconciling.RunRound(['leaver']))
     for row in table.scan(reconciling.LEASE_PREFIX):
         table.commit({row.key: row.version}, {row.key: row.value})
-    leaver.ask(reconciling.ReleaseLeases())
+    leaving.ask(reconciling.ReleaseLeases())
     assert holders(table) == {leases.NO_HOLDER}
 
 
-def test_release_during_an_outage_says_what_is_left(table, start):
-    leaver = start('leaver')
-    leaver.ask(reconciling.RunRound(['leaver']))
+def test_release_during_an_outage_returns_the_unreleased_shares(table, start):
+    leaving = start('leaver')
+    leaving.ask(reconciling.RunRound(['leaver']))
     table.faults = faults.PlatformFaults(down=True)
-    left = leaver.ask(reconciling.ReleaseLeases())
-    assert left == list(range(reconciling.SHARE_COUNT))
+    unreleased = leaving.ask(reconciling.ReleaseLeases())
+    assert unreleased == list(range(reconciling.SHARE_COUNT))
     table.faults = faults.PlatformFaults(lose_answers=3)
-    assert leaver.ask(reconciling.ReleaseLeases()) == []
+    assert leaving.ask(reconciling.ReleaseLeases()) == []
     assert holders(table) == {leases.NO_HOLDER}
 
 
-def test_release_spares_a_later_process_of_the_same_id(table, clock, start):
-    """Symptom: two routers order the same engine about.
+def test_release_keeps_rows_of_a_later_process_with_the_same_id(
+    table, clock, start
+):
+    """Two routers never send orders to the same engine.
 
-    Sequence: a leaving process is paused; a new one of its id waits its
-    leases out and takes them; the old one goes on and releases.
-    Cause: the id alone said whose row it was.
+    A leaving process pauses while a new one with its id acquires the expired
+    leases; then the old one resumes and releases.  The id alone does not show
+    whose row it is.
     """
     old, new = start('vm-1'), start('vm-1')
     old.ask(reconciling.RunRound(['vm-1']))
     new.ask(reconciling.RunRound(['vm-1']))
-    clock.now = LAPSED
+    clock.now = AFTER_EXPIRY
     new.ask(reconciling.RunRound(['vm-1']))
     held = new.ask(reconciling.GetLeases())
     assert all(lease.holds(clock.now) for lease in held.values())
--- a/packages/router/ibisring_router/tests/test_records_fuzz.py
+++ b/packages/router/ibisring_router/tests/test_records_fuzz.py
@@ -1,7 +1,7 @@
-"""Stateful fuzzing of submissions and their spread against an oracle.
+"""Stateful fuzzing of submissions and their propagation against an oracle.
 
-Real record keepers on a table stand-in that goes down, loses answers, and
-lets another operator's submission in between a read and its commit.
+Real record keepers use an in-memory table that goes down, loses answers, and
+accepts another operator's submission between a read and its commit.
 """
 
 import collections
@@ -27,7 +27,7 @@
 
 
 class RacingTable(memory.MemoryTable):
-    """Runs `between` once, after a read and before the commit."""
+    """Calls `between` once, after a read and before the commit."""
 
     def __init__(self):
         super().__init__()
@@ -224,40 +224,42 @@
     print(dict(TOTALS))
 
 
-def take_lost_for_refused(monkeypatch):
-    def settle(self, submission, cause):
+def report_lost_answers_as_refusals(monkeypatch):
+    def resolve(self, submission, cause):
         raise exceptions.NotAccepted(cause.detail)
 
-    monkeypatch.setattr(recordkeeping.RecordKeeper, '_settle_commit', settle)
+    monkeypatch.setattr(recordkeeping.RecordKeeper, '_resolve_commit', resolve)
 
 
-def commit_without_comparing(monkeypatch):
+def commit_without_version_check(monkeypatch):
     monkeypatch.setattr(
         memory.MemoryTable, '_check_versions', lambda self, expected: None
     )
 
 
-def take_older_snapshots(monkeypatch):
-    def offer(self, revision, stored):
+def apply_older_snapshots(monkeypatch):
+    def apply_snapshot(self, revision, stored):
         self.stored = {(r.kind, r.name): r for r in stored}
         self.revision = revision
         return revisions.ApplyResult.APPLIED
 
-    monkeypatch.setattr(revisions.ActiveRecords, 'apply_snapshot', offer)
+    monkeypatch.setattr(
+        revisions.ActiveRecords, 'apply_snapshot', apply_snapshot
+    )
 
 
-def skip_gaps(monkeypatch):
+def apply_changes_after_gaps(monkeypatch):
     real = revisions.ActiveRecords.apply_change
 
-    def offer(self, change):
+    def apply_change(self, change):
         if change.revision > self.revision:
             self.revision = change.revision - 1
         return real(self, change)
 
-    monkeypatch.setattr(revisions.ActiveRecords, 'apply_change', offer)
+    monkeypatch.setattr(revisions.ActiveRecords, 'apply_change', apply_change)
 
 
-def erase_what_v1_does_not_know(monkeypatch):
+def drop_fields_unknown_to_v1(monkeypatch):
     monkeypatch.setattr(
         conversion,
         'merge_spec',
@@ -268,14 +270,14 @@
 @pytest.mark.parametrize(
     'break_guard',
     [
-        take_lost_for_refused,
-        commit_without_comparing,
-        take_older_snapshots,
-        skip_gaps,
-        erase_what_v1_does_not_know,
+        report_lost_answers_as_refusals,
+        commit_without_version_check,
+        apply_older_snapshots,
+        apply_changes_after_gaps,
+        drop_fields_unknown_to_v1,
     ],
 )
-def test_oracle_notices_a_broken_guard(break_guard, monkeypatch):
+def test_oracle_detects_a_broken_guard(break_guard, monkeypatch):
     break_guard(monkeypatch)
     with pytest.raises(Exception):
         run_machine((Phase.generate,))
