--- a/packages/router/ibisring_router/heldanswers.py
+++ b/packages/router/ibisring_router/heldanswers.py
@@ -129,7 +129,7 @@
 
         Raises
         ------
-        KeyReused
+        IdempotencyKeyReused
         Overloaded
             Too many answers are running.
         """
@@ -192,10 +192,10 @@
 
     Raises
     ------
-    KeyReused
+    IdempotencyKeyReused
     """
     if held != given:
-        raise exceptions.KeyReused(
+        raise exceptions.IdempotencyKeyReused(
             'the Idempotency-Key was already used for a different request'
         )
 
--- a/packages/router/ibisring_router/recordkeeping.py
+++ b/packages/router/ibisring_router/recordkeeping.py
@@ -264,7 +264,7 @@
         SubmissionUnknown
             It may have been accepted; query `find_accepted`.
         """
-        submitting.check(submission)
+        submitting.check_submission(submission)
         try:
             return self._try_to_submit(submission)
         except exceptions.NotAccepted as error:
@@ -288,7 +288,7 @@
             read_revisions = self._check_revisions(
                 submission, values, read_revisions
             )
-            change = submitting.prepare(submission, values)
+            change = submitting.make_change(submission, values)
             if self._commit(submission, change, rows):
                 self.apply_changes([change])
                 accepted = records.Accepted(submission.id, change.revision)
@@ -341,7 +341,7 @@
             for key in submitting.rows_to_read(submission)
         }
         try:
-            self.table.commit(expected, submitting.writes(change))
+            self.table.commit(expected, submitting.rows_to_write(change))
             return True
         except exceptions.Conflict:
             return False
--- a/packages/router/ibisring_router/tests/test_configuration.py
+++ b/packages/router/ibisring_router/tests/test_configuration.py
@@ -290,7 +290,7 @@
     """Return the index of the router that holds each share's lease."""
     found = {}
     for index, router in enumerate(fleet):
-        leases = router.reconciler.actor.ask(builders.held_leases())
+        leases = router.reconciler.actor.ask(builders.held_leases_query())
         for share, lease in leases.items():
             if lease.holds(router.reconciler.clock()):
                 assert share not in found
--- a/packages/router/ibisring_router/tests/test_heldanswers.py
+++ b/packages/router/ibisring_router/tests/test_heldanswers.py
@@ -70,7 +70,7 @@
     answers = make_answers([0.0])
     held = hold_answer(answers, 'k')
     assert answers.get_or_create('k', 'fingerprint') == (held, False)
-    with pytest.raises(exceptions.KeyReused):
+    with pytest.raises(exceptions.IdempotencyKeyReused):
         answers.get_or_create('k', 'other')
 
 
