--- a/packages/router/ibisring_router/actors.py
+++ b/packages/router/ibisring_router/actors.py
@@ -1,4 +1,4 @@
-"""What all actors of the router share."""
+"""Base class of the router's actors."""
 
 __all__ = ['MessageActor']
 
@@ -8,9 +8,9 @@
 
 
 class MessageActor(pykka.ThreadingActor, abc.ABC):
-    """An actor that handles each type of message by a method of its own.
+    """An actor with one handler method for each type of message.
 
-    Its thread is a daemon: a process that ends does not wait for it.
+    Its thread is a daemon, so the process can exit while it runs.
     """
 
     use_daemon_thread = True
@@ -21,7 +21,7 @@
 
     @abc.abstractmethod
     def handlers(self):
-        """Give the method for each type of message.
+        """Return the handler method for each type of message.
 
         Returns
         -------
--- a/packages/router/ibisring_router/claiming.py
+++ b/packages/router/ibisring_router/claiming.py
@@ -246,14 +246,14 @@
 
         No repeat of their requests can arrive any more.
         """
-        old = {}
+        old_versions = {}
         for row in self.background_table.scan_all(CLAIM_PREFIX):
             claim = msgspec.convert(row.value, claims_module.Claim)
             if wall_time - claim.made_at > 2 * self.window:
-                old[row.key] = row.version
-        for keys in more_itertools.chunked(old, SWEEP_BATCH_SIZE):
+                old_versions[row.key] = row.version
+        for keys in more_itertools.chunked(old_versions, SWEEP_BATCH_SIZE):
             _delete_rows(
-                self.background_table, {key: old[key] for key in keys}
+                self.background_table, {key: old_versions[key] for key in keys}
             )
 
     # Voters
--- a/packages/router/ibisring_router/engineclient.py
+++ b/packages/router/ibisring_router/engineclient.py
@@ -1,4 +1,4 @@
-"""Speaking with model engines."""
+"""Clients of model engines."""
 
 __all__ = [
     'EngineClient',
@@ -18,15 +18,15 @@
 from ibisring_web import events
 import msgspec
 
-CANCEL_TIMEOUT = 1.0
+CANCEL_TIMEOUT_SECONDS = 1.0
 
-_EVENT = msgspec.json.Decoder(
+_EVENT_DECODER = msgspec.json.Decoder(
     Union[engines.TokenEvent, engines.FinishEvent, engines.FailureEvent]
 )
 
 
 def parse_load(text):
-    """Parse a load header 'RUNNING/WAITING/SLOTS'; None if it is damaged.
+    """Parse a load header 'RUNNING/WAITING/SLOTS'; None if invalid.
 
     Examples
     --------
@@ -41,17 +41,18 @@
 
 
 class EngineClient(abc.ABC):
-    """Sends attempts to the head of a chain and yields their events."""
+    """Sends attempts to the first stage of a chain and yields their events."""
 
     @abc.abstractmethod
     def generate(self, order, on_load):
-        """Begin an attempt.
+        """Start an attempt and yield its events.
 
         Parameters
         ----------
         order : engines.GenerateOrder
         on_load : callable
-            Given the head's endpoint name and `engines.EngineLoad`.
+            Called with the name of the first stage's endpoint and its
+            `engines.EngineLoad`.
 
         Yields
         ------
@@ -64,60 +65,60 @@
 
     @abc.abstractmethod
     def resume(self, order, position):
-        """Yield the same attempt's events from a position, as `generate`."""
+        """Resume an attempt and yield its events from a token position."""
 
     @abc.abstractmethod
     def cancel(self, order):
-        """Tell the head to stop an attempt; never raises."""
+        """Cancel an attempt at its first stage; never raises."""
 
 
 class HttpEngineClient(EngineClient):
-    """Engines over HTTP with server-sent events.
+    """Client of engines over HTTP with server-sent events.
 
     Parameters
     ----------
     caller : calls.Caller
-        Its read timeout is the longest silence between two tokens.
+        Its read timeout is the maximum time between two tokens.
     """
 
     def __init__(self, caller):
         self.caller = caller
 
     def generate(self, order, on_load):
-        head = order.stages[0]
-        response = self._open(head, '/v1/generate', order)
+        first_stage = order.stages[0]
+        response = self._open_stream(first_stage, '/v1/generate', order)
         load = parse_load(response.headers.get(engines.LOAD_HEADER))
         if load is not None:
-            on_load(head.endpoint, load)
-        yield from self._events(response, head.address)
+            on_load(first_stage.endpoint, load)
+        yield from self._read_events(response, first_stage.address)
 
     def resume(self, order, position):
-        head = order.stages[0]
+        first_stage = order.stages[0]
         request = engines.ResumeRequest(order.request, order.attempt, position)
-        response = self._open(head, '/v1/resume', request)
-        yield from self._events(response, head.address)
+        response = self._open_stream(first_stage, '/v1/resume', request)
+        yield from self._read_events(response, first_stage.address)
 
     def cancel(self, order):
-        head = order.stages[0]
+        first_stage = order.stages[0]
         request = engines.CancelRequest(order.request, order.attempt)
         try:
             self.caller.call(
                 'POST',
-                head.address,
+                first_stage.address,
                 '/v1/cancel',
                 request,
-                read_timeout=CANCEL_TIMEOUT,
+                read_timeout=CANCEL_TIMEOUT_SECONDS,
             )
         except (calls.CallError, exceptions.IbisringError):
-            # The head drops an attempt that nobody follows by itself.
+            # The first stage stops an attempt whose stream nobody reads.
             return
 
-    def _open(self, head, path, message):
-        # A kept-alive connection may have gone silent for good while new
-        # ones work, so each attempt gets a connection of its own.
+    def _open_stream(self, first_stage, path, message):
+        # A kept-alive connection may hang forever while new ones work, so
+        # each attempt opens a new one.
         try:
             response = self.caller.open(
-                'POST', head.address, path, message, fresh=True
+                'POST', first_stage.address, path, message, fresh=True
             )
         except calls.NotSent as error:
             raise attempterrors.AttemptFailed(
@@ -126,26 +127,26 @@
         except calls.AnswerLost as error:
             raise attempterrors.from_answer_lost(error) from error
         if response.status != 200:
-            raise _refusal(response, head.address)
+            raise _failure_of_response(response, first_stage.address)
         return response
 
-    def _events(self, response, address):
+    def _read_events(self, response, address):
         chunks = calls.read_stream(response, address)
         try:
             for data in events.decode(chunks):
-                yield _EVENT.decode(data)
+                yield _EVENT_DECODER.decode(data)
         except calls.AnswerLost as error:
             raise attempterrors.from_answer_lost(error) from error
         except msgspec.MsgspecError as error:
             raise attempterrors.AttemptFailed(
-                retries.Failure.CUT, f'damaged event: {error}'
+                retries.Failure.CUT, f'invalid event: {error}'
             ) from error
         finally:
             chunks.close()
 
 
-def _refusal(response, address):
-    """Sort an engine's error answer into a failure."""
+def _failure_of_response(response, address):
+    """Return the failure that an engine's error response stands for."""
     try:
         data = calls.read_all(response, address)
     except calls.AnswerLost as error:
@@ -159,5 +160,5 @@
 
 
 def make_engine_client(token_timeout, connect_timeout):
-    """Make the HTTP engine client."""
+    """Make an HTTP engine client."""
     return HttpEngineClient(calls.make_caller(connect_timeout, token_timeout))
--- a/packages/router/ibisring_router/periodic.py
+++ b/packages/router/ibisring_router/periodic.py
@@ -1,4 +1,4 @@
-"""Threads that do something again and again, with jitter."""
+"""Threads that call a function periodically, with jitter."""
 
 __all__ = ['Periodic', 'start', 'stop_all']
 
@@ -8,18 +8,18 @@
 import time
 
 LOG = logging.getLogger(__name__)
-JITTER = 0.1
-STOP_SECONDS = 5.0
+JITTER_RATIO = 0.1
+STOP_TIMEOUT_SECONDS = 5.0
 
 
 class Periodic:
-    """Calls a function until stopped.
+    """Calls a function periodically until stopped.
 
     Parameters
     ----------
     interval : float
-        Seconds between calls, give or take a tenth: many routers that
-        started together must not poll in step.
+        Seconds between calls, varied by up to a tenth so that routers which
+        started together don't poll at the same time.
     function : callable
     """
 
@@ -27,12 +27,12 @@
         self.interval = interval
         self.function = function
         self.stopped = threading.Event()
-        self.thread = threading.Thread(target=self._loop, daemon=True)
+        self.thread = threading.Thread(target=self._run, daemon=True)
 
-    def _loop(self):
+    def _run(self):
         rng = random.Random()
         while not self.stopped.wait(
-            self.interval * rng.uniform(1 - JITTER, 1 + JITTER)
+            self.interval * rng.uniform(1 - JITTER_RATIO, 1 + JITTER_RATIO)
         ):
             try:
                 self.function()
@@ -41,16 +41,16 @@
 
 
 def start(interval, function):
-    """Start calling a function every so many seconds."""
+    """Start a thread that calls a function every `interval` seconds."""
     periodic = Periodic(interval, function)
     periodic.thread.start()
     return periodic
 
 
 def stop_all(periodics):
-    """Stop some threads, and wait for calls that are under way."""
-    for each in periodics:
-        each.stopped.set()
-    end = time.monotonic() + STOP_SECONDS
-    for each in periodics:
-        each.thread.join(timeout=max(0.0, end - time.monotonic()))
+    """Stop threads, and wait for running calls to return."""
+    for periodic in periodics:
+        periodic.stopped.set()
+    deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
+    for periodic in periodics:
+        periodic.thread.join(timeout=max(0.0, deadline - time.monotonic()))
--- a/packages/router/ibisring_router/readiness.py
+++ b/packages/router/ibisring_router/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a router should be sent callers."""
+"""Whether the load balancer should send callers to a router."""
 
 __all__ = ['Readiness', 'make_readiness']
 
@@ -6,7 +6,7 @@
 
 
 class Readiness:
-    """Ready once a configuration is in force, until draining begins.
+    """Ready once the router has a configuration, until it drains.
 
     Parameters
     ----------
@@ -18,17 +18,17 @@
         self.draining = False
 
     def check(self):
-        """Refuse if the balancer should send callers elsewhere.
+        """Raise an error if the load balancer should use other routers.
 
         Raises
         ------
         NotReady
         """
         if self.draining:
-            raise exceptions.NotReady('this router is leaving')
+            raise exceptions.NotReady('this router is shutting down')
         self.keeper.require()
 
 
 def make_readiness(keeper):
-    """Make the readiness of a router."""
+    """Make the readiness check of a router."""
     return Readiness(keeper)
--- a/packages/router/ibisring_router/requestlimiter.py
+++ b/packages/router/ibisring_router/requestlimiter.py
@@ -1,4 +1,4 @@
-"""Keeps threads free for urgent requests, and counts what is in flight."""
+"""Limit on concurrent requests that reserves threads for urgent ones."""
 
 __all__ = ['RequestLimiter', 'make_request_limiter']
 
@@ -7,37 +7,37 @@
 
 from ibisring_records import exceptions
 
-RETRY_AFTER = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
 class RequestLimiter:
-    """Bounds the requests that hold a caller thread.
+    """Limits the requests that hold a caller thread.
 
     Parameters
     ----------
     threads : int
-        Caller threads in all.
+        Number of caller threads.
     urgent : int
-        How many of them only the most urgent class may hold.
+        Number of these threads reserved for the most urgent priority.
 
     Notes
     -----
-    A stream holds its thread for its whole life.  If bulletins held them
-    all, an alert would wait unread in the kernel's queue, where nobody sees
-    it.  So the last `urgent` threads answer others at once that they did
-    not run.
+    A stream holds its thread until it ends.  If streams held all threads, an
+    urgent request would wait unread in the kernel's listen queue.  So the
+    last `urgent` threads only refuse other requests, at once and with
+    outcome `not_run`.
     """
 
     def __init__(self, threads, urgent):
         self.threads = threads
         self.urgent = urgent
-        self.busy = 0
-        self.tracked = 0
+        self.held_threads = 0
+        self.tracked_runs = 0
         self.condition = threading.Condition()
 
     @contextlib.contextmanager
     def hold(self, is_urgent):
-        """Hold a place while a request runs.
+        """Count a request against the limit while it runs.
 
         Raises
         ------
@@ -51,41 +51,41 @@
 
     @contextlib.contextmanager
     def track(self):
-        """Count a run that holds no caller thread, and refuse nothing."""
+        """Count a run that holds no caller thread; it is never refused."""
         with self.condition:
-            self.tracked += 1
+            self.tracked_runs += 1
         try:
             yield
         finally:
             with self.condition:
-                self.tracked -= 1
+                self.tracked_runs -= 1
                 self.condition.notify_all()
 
     def acquire(self, is_urgent):
-        """Take a place; `release` must follow."""
+        """Count a request against the limit until `release` is called."""
         with self.condition:
-            most = self.threads if is_urgent else self.threads - self.urgent
-            if self.busy >= most:
+            limit = self.threads if is_urgent else self.threads - self.urgent
+            if self.held_threads >= limit:
                 raise exceptions.Overloaded(
-                    f'{self.busy} requests are in flight here',
-                    retry_after=RETRY_AFTER,
+                    f'{self.held_threads} requests hold caller threads here',
+                    retry_after=RETRY_AFTER_SECONDS,
                 )
-            self.busy += 1
+            self.held_threads += 1
 
     def release(self):
-        """Give a place back."""
+        """End the count of an acquired request."""
         with self.condition:
-            self.busy -= 1
+            self.held_threads -= 1
             self.condition.notify_all()
 
     def wait_until_empty(self, timeout):
-        """Wait until nothing is in flight; False if it took too long."""
+        """Wait until nothing runs; return False after a timeout."""
         with self.condition:
             return self.condition.wait_for(
-                lambda: self.busy + self.tracked == 0, timeout
+                lambda: self.held_threads + self.tracked_runs == 0, timeout
             )
 
 
 def make_request_limiter(threads, urgent):
-    """Make a gate."""
+    """Make a request limiter."""
     return RequestLimiter(threads, urgent)
--- a/packages/router/ibisring_router/statuspolling.py
+++ b/packages/router/ibisring_router/statuspolling.py
@@ -1,4 +1,4 @@
-"""Asking endpoints whether they can take work, and how loaded they are."""
+"""Polling endpoints for their readiness and load."""
 
 __all__ = ['StatusPoller', 'is_ready', 'is_due', 'make_poller']
 
@@ -11,12 +11,12 @@
 import xxhash
 
 POLL_THREADS = 8
-LEAST_TURNS = 10
-SETTLED_A_ROUND = 2
+MIN_CYCLE_ROUNDS = 10
+READY_POLLS_PER_ROUND = 2
 
 
 def is_ready(spec, status):
-    """Say whether an engine holds just what its record says.
+    """Return whether an engine has loaded what its record specifies.
 
     Parameters
     ----------
@@ -25,52 +25,54 @@
 
     Notes
     -----
-    An engine that is still loading, or holds another version or range,
-    would run the wrong layers; it shows as words that make no sense.
+    An engine that is still loading, or that has loaded another version or
+    range, would run the wrong layers, and the output would be nonsense.
     """
     if spec.service:
         return True
     if not status.loaded or status.loading:
         return False
-    held = (
+    loaded = (
         status.model,
         status.version,
         status.first_layer,
         status.last_layer,
     )
-    wanted = (spec.model, spec.version, spec.first_layer, spec.last_layer)
-    return held == wanted and set(spec.adapters) <= set(status.adapters)
+    recorded = (spec.model, spec.version, spec.first_layer, spec.last_layer)
+    return loaded == recorded and set(spec.adapters) <= set(status.adapters)
 
 
 def poll_cycle_rounds(count):
-    """Give the rounds in which all settled endpoints get their turn.
+    """Return the number of rounds in which each ready endpoint is polled once.
 
-    Few are polled in a round however many there are: at 180 endpoints a
-    poll of each every ten rounds would spend twice the control budget.
+    The cycle grows with the number of endpoints, so that a round polls only a
+    few of them: with 180 endpoints, a poll of each every ten rounds would
+    use twice the budget for control traffic.
     """
-    return max(LEAST_TURNS, count // SETTLED_A_ROUND)
+    return max(MIN_CYCLE_ROUNDS, count // READY_POLLS_PER_ROUND)
 
 
-def is_due(name, round_number, is_settled, turns):
-    """Say whether an endpoint is polled in a round.
+def is_due(name, round_number, was_ready, cycle_rounds):
+    """Return whether an endpoint is polled in a round.
 
     Parameters
     ----------
     name : str
     round_number : int
-    is_settled : bool
-        It was ready when last polled; then its load comes with its answers,
-        and it is looked at only once in so many `turns`.
-    turns : int
+    was_ready : bool
+        Whether it was ready at the last poll.  Its load then comes with its
+        answers, so one poll per cycle is enough.
+    cycle_rounds : int
+        Rounds of a cycle.
     """
-    if not is_settled:
+    if not was_ready:
         return True
-    turn = xxhash.xxh64_intdigest(name.encode()) % turns
-    return round_number % turns == turn
+    slot = xxhash.xxh64_intdigest(name.encode()) % cycle_rounds
+    return round_number % cycle_rounds == slot
 
 
 class StatusPoller:
-    """Polls the endpoints that this router uses or gives orders to.
+    """Polls the endpoints that this router uses or sends orders to.
 
     Parameters
     ----------
@@ -82,9 +84,9 @@
     Attributes
     ----------
     statuses : dict of str to engines.EngineStatus
-        The last of each endpoint.
+        Last status of each endpoint.
     holds_lease_of : callable
-        From an endpoint's name, whether its share's lease is held here.
+        Returns whether this router holds the lease of an endpoint, by name.
     """
 
     def __init__(self, router_id, keeper, placement, caller):
@@ -93,40 +95,40 @@
         self.placement = placement
         self.caller = caller
         self.statuses = {}
-        # The record that each endpoint was ready for when last polled.
-        self.settled = {}
+        # By endpoint, the spec for which it was ready at its last poll.
+        self.ready_specs = {}
         self.round_number = 0
         self.holds_lease_of = lambda name: False
         self.pool = concurrent.futures.ThreadPoolExecutor(POLL_THREADS)
 
     def poll(self):
-        """Poll once the endpoints whose turn it is."""
+        """Poll the endpoints that are due in this round."""
         configuration = self.keeper.current
         if configuration is None:
             return
         self.round_number += 1
-        every = list(configuration.endpoints.values())
-        used = subsets.choose_subset(self.router_id, every)
+        endpoints = list(configuration.endpoints.values())
+        used = subsets.choose_subset(self.router_id, endpoints)
         names = {endpoint.name for endpoint in used}
-        watched = [
+        polled = [
             endpoint
-            for endpoint in every
+            for endpoint in endpoints
             if endpoint.name in names or self.holds_lease_of(endpoint.name)
         ]
-        turns = poll_cycle_rounds(len(watched))
+        cycle_rounds = poll_cycle_rounds(len(polled))
         due = [
             endpoint
-            for endpoint in watched
+            for endpoint in polled
             if is_due(
                 endpoint.name,
                 self.round_number,
-                self.settled.get(endpoint.name) == endpoint.spec,
-                turns,
+                self.ready_specs.get(endpoint.name) == endpoint.spec,
+                cycle_rounds,
             )
         ]
-        list(self.pool.map(self._poll_one, due))
+        list(self.pool.map(self._poll_endpoint, due))
 
-    def _poll_one(self, endpoint):
+    def _poll_endpoint(self, endpoint):
         try:
             status = self.caller.call(
                 'GET',
@@ -135,14 +137,14 @@
                 cls=engines.EngineStatus,
             )
         except (calls.CallError, exceptions.IbisringError):
-            # A missed poll says little; attempts that fail eject it.
-            self.settled.pop(endpoint.name, None)
+            # A failed poll alone does not eject it; failed attempts do.
+            self.ready_specs.pop(endpoint.name, None)
             return
         ready = is_ready(endpoint.spec, status) and not status.draining
         if ready:
-            self.settled[endpoint.name] = endpoint.spec
+            self.ready_specs[endpoint.name] = endpoint.spec
         else:
-            self.settled.pop(endpoint.name, None)
+            self.ready_specs.pop(endpoint.name, None)
         self.statuses[endpoint.name] = status
         self.placement.observe(endpoint.name, status.load)
         self.placement.observe_status(
--- a/packages/router/ibisring_router/storebudget.py
+++ b/packages/router/ibisring_router/storebudget.py
@@ -1,4 +1,4 @@
-"""The table service, called only within this router's budget."""
+"""Table service clients that keep to this router's call budget."""
 
 __all__ = ['SharedBudget', 'BudgetedTable', 'make_shared_budget']
 
@@ -11,55 +11,55 @@
 
 
 class SharedBudget:
-    """The budget that all table clients of a router draw on.
+    """The call budget that all table clients of a router share.
 
     Parameters
     ----------
     budget : budgets.StoreBudget
-    routers : callable
-        Gives the number of routers on the VM list, 0 if never read.
+    count_routers : callable
+        Returns the number of routers on the VM list, 0 until it was read.
     metrics : metrics.Metrics
     clock : callable
     """
 
-    def __init__(self, budget, routers, metrics, clock):
+    def __init__(self, budget, count_routers, metrics, clock):
         self.budget = budget
-        self.routers = routers
+        self.count_routers = count_routers
         self.metrics = metrics
         self.clock = clock
         self.lock = threading.Lock()
 
-    def take_read(self, urgency):
-        """Take a read.
+    def acquire_read(self, urgency):
+        """Charge a read to the budget.
 
         Raises
         ------
         StoreBudgetSpent
         """
-        self._take(self.budget.may_read, urgency)
+        self._acquire(self.budget.may_read, urgency)
 
-    def take_write(self, urgency):
-        """Take a write.
+    def acquire_write(self, urgency):
+        """Charge a write to the budget.
 
         Raises
         ------
         StoreBudgetSpent
         """
-        self._take(self.budget.may_write, urgency)
+        self._acquire(self.budget.may_write, urgency)
 
-    def _take(self, may, urgency):
-        routers = self.routers()
+    def _acquire(self, is_allowed, urgency):
+        router_count = self.count_routers()
         with self.lock:
-            allowed = may(urgency, routers, self.clock())
+            allowed = is_allowed(urgency, router_count, self.clock())
         if not allowed:
             self.metrics.count('store.budget_spent')
             raise exceptions.StoreBudgetSpent(
-                "this router's part of the table service's calls is spent"
+                "this router's share of calls to the table service is used up"
             )
 
 
 class BudgetedTable(tables.TableService):
-    """A table client that makes no call beyond the budget.
+    """A table client that makes no calls beyond the budget.
 
     Parameters
     ----------
@@ -74,21 +74,21 @@
         self.urgency = urgency
 
     def read(self, keys):
-        self.shared.take_read(self.urgency)
+        self.shared.acquire_read(self.urgency)
         return self.table.read(keys)
 
     def scan(self, prefix, after='', limit=tables.SCAN_PAGE):
-        self.shared.take_read(self.urgency)
+        self.shared.acquire_read(self.urgency)
         return self.table.scan(prefix, after, limit)
 
     def commit(self, expected, puts, deletes=()):
-        self.shared.take_write(self.urgency)
+        self.shared.acquire_write(self.urgency)
         return self.table.commit(expected, puts, deletes)
 
 
-def make_shared_budget(settings, routers, metrics, clock=time.monotonic):
-    """Make the budget of a router's table clients."""
+def make_shared_budget(settings, count_routers, metrics, clock=time.monotonic):
+    """Make the shared budget of a router's table clients."""
     budget = budgets.make_budget(
         settings.table_reads, settings.table_writes, clock()
     )
-    return SharedBudget(budget, routers, metrics, clock)
+    return SharedBudget(budget, count_routers, metrics, clock)
--- a/packages/router/ibisring_router/tests/test_configuration.py
+++ b/packages/router/ibisring_router/tests/test_configuration.py
@@ -265,7 +265,7 @@
 def reconcile(fleet):
     """Poll the status of every engine and send the orders that are due."""
     for router in fleet:
-        router.poller.settled.clear()
+        router.poller.ready_specs.clear()
         router.poller.poll()
         router.reconciler.run_round()
 
--- a/packages/router/ibisring_router/tests/test_keyed.py
+++ b/packages/router/ibisring_router/tests/test_keyed.py
@@ -170,10 +170,10 @@
 
 
 def spend_budget(router, writes):
-    """Spend a budget of some writes; its clock stands still."""
+    """Use up a budget of `writes` writes; its clock stands still."""
     shared = router.store_budget
     shared.clock = lambda: 0.0
-    shared.routers = lambda: 1
+    shared.count_routers = lambda: 1
     shared.budget = budgets.make_budget(writes, writes, 0.0)
     for _ in range(writes):
         assert shared.budget.may_write(FOREGROUND, 1, 0.0)
