--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -302,9 +302,8 @@
     def _merge_burn(self):
         """Merge the tallies of a period if it is assigned to this router.
 
-        Periods are distributed over the holders of leases: reading the
-        objects of one period takes more than the control traffic of one
-        router in that time.
+        Periods are distributed over the holders of leases, since the objects
+        of one period are larger than a router's control traffic during it.
         """
         self.burn.merge(
             lambda period: self.reconciler.holds_share(
@@ -323,11 +322,11 @@
         sleep(self.settings.drain_seconds)
         whole = self.limiter.wait_until_empty(self.settings.drain_limit)
         logs.event(LOG, 'router_drained', whole=whole)
-        self._release_leases()
+        self._release_and_save()
         self.stop()
 
-    def _release_leases(self):
-        """Release the leases so that others needn't wait for their expiry."""
+    def _release_and_save(self):
+        """Release the leases, so that others needn't wait, and save tallies."""
         periodic.stop_all(self.periodics)
         self.reconciler.release()
         self.burn.save()
