--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -326,7 +326,7 @@
         self.stop()
 
     def _release_and_save(self):
-        """Release the leases, so that others needn't wait, and save tallies."""
+        """Release the leases, so that others needn't wait; save tallies."""
         periodic.stop_all(self.periodics)
         self.reconciler.release()
         self.burn.save()
