--- a/packages/router/ibisring_router/tests/test_failures.py
+++ b/packages/router/ibisring_router/tests/test_failures.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize('position', [0, 5, TOKENS - 1])
-def test_stage_death_at_any_token_is_hidden_from_the_caller(
+def test_stage_crash_at_any_token_is_hidden_from_the_caller(
     site, router_with_long_timeout, position
 ):
     """Failure: a response breaks off when a stage of its chain crashes.
