--- a/packages/gateway/ibisring_gateway/exchange.py
+++ b/packages/gateway/ibisring_gateway/exchange.py
@@ -102,7 +102,7 @@
             return self.request.rfile.read()
         except cheroot_errors.MaxSizeExceeded as error:
             self.request.close_connection = True
-            raise BodyTooLarge('the request body is too large') from error
+            raise BodyTooLarge('the body is too large') from error
         except (OSError, ValueError) as error:
             raise CallerDisconnected(str(error)) from error
 
--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -98,7 +98,7 @@
             self.metrics.count('internal_errors')
             LOG.exception('request_failed %s', request_id)
             if not exchange.headers_sent:
-                error = exceptions.IbisringError('internal error')
+                error = exceptions.IbisringError('an internal error')
                 self._send_error(exchange, request_id, error, started)
         finally:
             with self.view.lock:
@@ -160,7 +160,7 @@
             )
         match = snapshot.index.find(request.host, request.path, request.key)
         if self.refuse_after is not None and started > self.refuse_after:
-            raise exceptions.NotReady('this router is shutting down', 0.0)
+            raise exceptions.NotReady('this router is ending', 0.0)
         service = snapshot.index.pick_service(match.route, self.rng.random())
         if service is None:
             raise exceptions.NoEndpoint('the route has no service', 1.0)
@@ -268,7 +268,7 @@
             and result is attempts.Result.SUSPECTED
         ):
             raise exceptions.CrashingRequest(
-                'endpoints crashed while they ran this request',
+                'endpoints have ended under this request',
                 self.screen.retry_after(job),
                 digest=job.digest.hex(),
                 ends=self.screen.verdict(job).crashes,
@@ -305,7 +305,7 @@
             return attempts.Result.NOT_SENT
         if choice is None and job.limited:
             raise exceptions.Overloaded(
-                'all endpoints are at their rate limits',
+                'endpoints take no more requests for now',
                 self.selector.throttle.refuse(job, self.clock()),
                 limited=sorted(job.limited),
             )
--- a/packages/policy/ibisring_policy/dispatch.py
+++ b/packages/policy/ibisring_policy/dispatch.py
@@ -146,7 +146,7 @@
             queue = self.queues[ticket.target] = admission.make_queue()
         if queue.is_full():
             raise exceptions.Overloaded(
-                f'the queue is full: {len(queue)} requests are waiting',
+                f'{len(queue)} requests wait already',
                 retry_after=RETRY_AFTER_SECONDS,
             )
         self._check_deadline(ticket, queue, now)
@@ -164,7 +164,7 @@
             target = ticket.target
             name = target.service or f'{target.model}@{target.version}'
             raise exceptions.NoEndpoint(
-                f'no complete set of available endpoints serves {name}',
+                f'no complete set of endpoints serves {name}',
                 retry_after=RETRY_AFTER_SECONDS,
             )
 
@@ -186,7 +186,7 @@
         delay = now + wait + ticket.cost * seconds_per_cost - ticket.deadline
         if delay > 0.0 and wait > 0.0:
             raise exceptions.DeadlineUnreachable(
-                f'the expected wait of {wait:.2f} s would miss the deadline',
+                f'the wait of {wait:.2f} s would miss the deadline',
                 retry_after=max(MIN_RETRY_AFTER_SECONDS, min(delay, wait)),
             )
 
@@ -285,7 +285,7 @@
                 queue.remove(ticket.id)
                 self.limits.refund(ticket.account, ticket.cost)
                 error = exceptions.DeadlineUnreachable(
-                    'the deadline can no longer be met after waiting',
+                    'the queue did not move fast enough',
                     retry_after=RETRY_AFTER_SECONDS,
                 )
                 results.append(Refusal(ticket, error))
--- a/packages/policy/ibisring_policy/limits.py
+++ b/packages/policy/ibisring_policy/limits.py
@@ -142,7 +142,7 @@
         wait = bucket.take(cost, now)
         if wait > 0.0:
             raise exceptions.AccountLimited(
-                f'account {account} exceeds {limit:g} tokens per second',
+                f'account {account} is over {limit:g} tokens a second',
                 retry_after=wait,
             )
 
--- a/packages/policy/ibisring_policy/plans.py
+++ b/packages/policy/ibisring_policy/plans.py
@@ -33,7 +33,7 @@
                 f' not {expected}'
             )
         if stage.last_layer < stage.first_layer:
-            raise exceptions.PlanInvalid(f'{stage.endpoint} has no layers')
+            raise exceptions.PlanInvalid(f'{stage.endpoint} holds no layer')
         expected = stage.last_layer + 1
     if expected != layers:
         raise exceptions.PlanInvalid(
