--- a/packages/standins/ibisring_standins/__init__.py
+++ b/packages/standins/ibisring_standins/__init__.py
@@ -1,5 +1,5 @@
 """Small stand-ins for the platform, model engines and plain services.
 
-They speak the same protocols over HTTP, can be told to fail in the ways
-that the real ones do, and keep ledgers of what ran for tests to check.
+They implement the same protocols over HTTP, inject the failures of the real
+ones on request, and keep a ledger of everything that ran for tests to check.
 """
--- a/packages/standins/ibisring_standins/__main__.py
+++ b/packages/standins/ibisring_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs stand-ins as processes of their own."""
+"""Runs stand-ins as separate processes."""
 
 import json
 import pathlib
@@ -28,41 +28,43 @@
 
 @app.command()
 def platform(port: int = 9000, load: str = ''):
-    """Run the platform; LOAD names a deployment whose records it holds."""
+    """Run the platform, with the records of the deployment LOAD if given."""
     site = embedded.Site()
     if load:
         deployment = deployments.DEPLOYMENTS[load]()
         submission = records.Submission('loaded', deployment.records)
         change = submitting.prepare(submission, {})
         site.platform.table.commit({}, submitting.writes(change))
-    app_ = platformserver.make_app(site.platform)
-    site.listen('platform', app_, embedded.PLATFORM_THREADS, port)
+    platform_app = platformserver.make_app(site.platform)
+    site.listen('platform', platform_app, embedded.PLATFORM_THREADS, port)
     _serve_forever(site)
 
 
 @app.command()
 def endpoints(
     file: pathlib.Path,
-    names: list[str] = typer.Option([], '--name', help='Only these.'),
+    names: list[str] = typer.Option(
+        [], '--name', help='Run only these endpoints.'
+    ),
     step_ms: float = 2.0,
     prefill_ms: float = 0.1,
 ):
-    """Run the engines and services that a record file describes."""
+    """Run the engines and services of a record file."""
     site = embedded.Site()
     speed = engineserver.Speed(step_ms / 1000, prefill_ms / 1000)
-    for raw in json.loads(file.read_text()):
-        record = msgspec.convert(raw, records.Submitted)
+    for raw_record in json.loads(file.read_text()):
+        record = msgspec.convert(raw_record, records.Submitted)
         if record.kind != 'endpoint':
             continue
         if names and record.name not in names:
             continue
-        _start(site, record, speed)
+        _start_endpoint(site, record, speed)
     if not site.listeners:
-        raise exceptions.InvalidSetting(f'{file} holds no such endpoint')
+        raise exceptions.InvalidSetting(f'{file} has no matching endpoint')
     _serve_forever(site)
 
 
-def _start(site, record, speed):
+def _start_endpoint(site, record, speed):
     spec = conversion.read_spec('endpoint', record.schema, record.spec)
     port = int(spec.address.rpartition(':')[2])
     if spec.service:
@@ -77,14 +79,14 @@
 
 @app.command()
 def examples(directory: pathlib.Path):
-    """Write the record files of both deployments."""
+    """Write the record files of all sample deployments."""
     directory.mkdir(exist_ok=True)
     for name, make in deployments.DEPLOYMENTS.items():
-        raw = msgspec.to_builtins(make().records)
-        for record in raw:
+        raw_records = msgspec.to_builtins(make().records)
+        for record in raw_records:
             record.pop('revision')
             record.pop('deleted')
-        text = json.dumps(raw, indent=1) + '\n'
+        text = json.dumps(raw_records, indent=1) + '\n'
         (directory / f'{name}.json').write_text(text)
 
 
--- a/packages/standins/ibisring_standins/deployments.py
+++ b/packages/standins/ibisring_standins/deployments.py
@@ -1,4 +1,4 @@
-"""Records of the two users' deployments, at the brief's sizes."""
+"""Records of two sample deployments, at the specified sizes."""
 
 __all__ = ['Deployment', 'cocinas', 'morales', 'DEPLOYMENTS', 'account_key']
 
@@ -14,7 +14,7 @@
 
 
 class Deployment(msgspec.Struct):
-    """A deployment's records; `keys` are the accounts' secret demo keys."""
+    """Records of a deployment; `keys` maps accounts to their demo keys."""
 
     name: str
     records: list[records.Submitted]
@@ -22,7 +22,7 @@
 
 
 def account_key(account):
-    """Give the demo key of an account; real ones are random."""
+    """Return the demo key of an account; real keys are random."""
     return f'demo-key-{account}'
 
 
@@ -77,10 +77,10 @@
 
 
 def _engines(model, domains, count, address_of):
-    """Spread stage engines over ranges and failure domains in turn."""
-    made = []
-    turns = itertools.cycle(itertools.product(domains, RANGES))
-    for number, (domain, (first, last)) in zip(range(count), turns):
+    """Spread engines evenly over failure domains and layer ranges."""
+    engines = []
+    assignments = itertools.cycle(itertools.product(domains, RANGES))
+    for number, (domain, (first, last)) in zip(range(count), assignments):
         spec = {
             'address': address_of(number),
             'failure_domain': domain,
@@ -93,8 +93,8 @@
             'checks_fencing': number % 2 == 0,
         }
         name = f'{model}-{number:02d}'
-        made.append(records.Submitted('endpoint', name, spec=spec))
-    return made
+        engines.append(records.Submitted('endpoint', name, spec=spec))
+    return engines
 
 
 def _services(service, domains, count, address_of):
@@ -113,25 +113,25 @@
     ]
 
 
-def _address(base):
+def _local_addresses(base):
     return lambda number: f'127.0.0.1:{base + number}'
 
 
 def cocinas(engines=40, services=3, engine_at=None, service_at=None):
-    """Give the records of Cooperativa Cocinas del Norte.
+    """Return the records of Cooperativa Cocinas del Norte.
 
     Parameters
     ----------
     engines, services : int
-        How many endpoints of each kind.
+        Number of endpoints of each kind.
     engine_at, service_at : callable or None
-        From an endpoint's number to its 'IP:PORT'.
+        Maps an endpoint's number to its 'IP:PORT'.
     """
     domains = ('tudela-a', 'tudela-b', 'estella')
-    large = {'weight': 3.0, 'tokens_per_second': 20_000.0}
+    large_account = {'weight': 3.0, 'tokens_per_second': 20_000.0}
     accounts = [
-        _account('planta-tudela', **large),
-        _account('planta-estella', **large),
+        _account('planta-tudela', **large_account),
+        _account('planta-estella', **large_account),
         _account('oficina-calidad', weight=2.0),
         _account('impresoras-etiquetas', priorities=['sellado', 'normal']),
         _account('operaciones', operator=True),
@@ -148,13 +148,13 @@
                 'modelo-cocina',
                 domains,
                 engines,
-                engine_at or _address(BASE_PORT),
+                engine_at or _local_addresses(BASE_PORT),
             ),
             *_services(
                 'etiquetado',
                 domains,
                 services,
-                service_at or _address(BASE_PORT + 80),
+                service_at or _local_addresses(BASE_PORT + 80),
             ),
         ],
         {a.name: account_key(a.name) for a in accounts},
@@ -162,7 +162,7 @@
 
 
 def morales(engines=40, services=3, engine_at=None, service_at=None):
-    """Give the records of Rayos Morales e Hijos, S.A."""
+    """Return the records of Rayos Morales e Hijos, S.A."""
     domains = ('hall-mixco', 'hall-villa', 'hall-zona4')
     accounts = [
         _account('avisos-campo', weight=4.0, priorities=['alerta', 'normal']),
@@ -182,13 +182,13 @@
                 'redactor',
                 domains,
                 engines,
-                engine_at or _address(BASE_PORT + 100),
+                engine_at or _local_addresses(BASE_PORT + 100),
             ),
             *_services(
                 'avisador',
                 domains,
                 services,
-                service_at or _address(BASE_PORT + 180),
+                service_at or _local_addresses(BASE_PORT + 180),
             ),
         ],
         {a.name: account_key(a.name) for a in accounts},
--- a/packages/standins/ibisring_standins/embedded.py
+++ b/packages/standins/ibisring_standins/embedded.py
@@ -1,7 +1,7 @@
-"""Stand-ins inside one process: platform, engines and services.
+"""Runs platform, engines and services as stand-ins within one process.
 
-Each engine and service has a listener of its own, so one can be stopped
-without the others.
+Each engine and service has its own listener, so that one can be stopped
+independently of the others.
 """
 
 __all__ = ['Site', 'start_site']
@@ -45,18 +45,18 @@
         return self.listeners['platform'].address
 
     def listen(self, name, app, threads, port=0):
-        """Serve an application, and give its 'IP:PORT'."""
+        """Serve an application, and return its 'IP:PORT'."""
         listener = serving.make_listener(app, port=port, threads=threads)
         listener.start()
         self.listeners[name] = listener
         return listener.address
 
     def kill(self, name):
-        """Stop an endpoint: its connections break, new ones are refused."""
+        """Stop an endpoint: connections are closed, and new ones refused."""
         self.listeners.pop(name).stop()
 
     def stop(self):
-        # Fresh switches end the silences and hangs that are under way.
+        # Replacing the fault switches ends the hangs that they simulate.
         for server in self.engines.values():
             server.engine.faults = faults.EngineFaults()
         for service in self.services.values():
@@ -84,12 +84,12 @@
 
 
 def start_site(deployment, speed=None):
-    """Start stand-ins for a deployment, its records already kept.
+    """Start stand-ins for a deployment whose records are stored already.
 
     Parameters
     ----------
     deployment : deployments.Deployment
-        Endpoint addresses in it are replaced by the real ones.
+        Its endpoint addresses are replaced by the actual ones.
     speed : engineserver.Speed or None
 
     Returns
--- a/packages/standins/ibisring_standins/engine.py
+++ b/packages/standins/ibisring_standins/engine.py
@@ -1,9 +1,9 @@
-"""A model engine that holds a range of layers, without its HTTP.
+"""A simulated model engine that runs a range of layers, without HTTP.
 
-The "model" is a chain of hashes: each layer mixes its number into the
-state, and the last state picks a word.  Leaving out, repeating or swapping
-a layer changes the word, so an answer is right only if every layer ran once
-and in order for each of its tokens.
+The "model" is a chain of hashes: each layer hashes its number into the
+activation, and the final activation selects a word.  Omitting, repeating or
+swapping a layer changes the word, so a response is correct only if every
+layer ran once and in order for each of its tokens.
 """
 
 __all__ = [
@@ -15,7 +15,7 @@
     'make_engine',
     'initial_state',
     'run_layers',
-    'word',
+    'token_text',
     'expected_tokens',
 ]
 
@@ -30,7 +30,7 @@
 import msgspec
 import xxhash
 
-WORDS = (
+VOCABULARY = (
     'arroz caldo sal horno masa pan queso leche huevo trigo '
     'nuez miel ajo oliva tomate pimiento judia garbanzo cebolla laurel'
 ).split()
@@ -39,8 +39,9 @@
 class Begin(msgspec.Struct):
     """Starts an attempt at one stage.
 
-    `position` is that of the first token it will be asked for; `prefill`
-    is how many tokens stand before it.
+    `position` is that of the first token to generate; `prefill` is the
+    number of tokens before it.  `cache_source` is the address of an engine
+    from which the KV cache can be copied.
     """
 
     request: str
@@ -53,14 +54,14 @@
 
 
 class BeginReply(msgspec.Struct):
-    """Says whether the stage already had the KV cache (`warm`)."""
+    """Response to `Begin`; `warm` is whether the stage has the KV cache."""
 
     warm: bool
     endpoint: str
 
 
 class Step(msgspec.Struct):
-    """One token's pass through one stage; `state` is the activation."""
+    """Runs a stage for one token; `state` is the activation."""
 
     request: str
     attempt: int
@@ -89,7 +90,7 @@
 
 
 def initial_state(prompt, tokens):
-    """Give the activation that enters layer 0."""
+    """Return the input activation of layer 0."""
     return xxhash.xxh64_intdigest('\0'.join([prompt, *tokens]).encode())
 
 
@@ -100,13 +101,13 @@
     return state
 
 
-def word(state):
-    """Give the token that a final state stands for."""
-    return WORDS[state % len(WORDS)] + ' '
+def token_text(state):
+    """Return the token that a final activation selects."""
+    return VOCABULARY[state % len(VOCABULARY)] + ' '
 
 
 def expected_tokens(prompt, layers, count):
-    """Give the whole right answer, as the oracle knows it.
+    """Return the tokens of the correct response.
 
     Examples
     --------
@@ -116,27 +117,27 @@
     tokens = []
     for _ in range(count):
         state = initial_state(prompt, tokens)
-        tokens.append(word(run_layers(state, 0, layers - 1)))
+        tokens.append(token_text(run_layers(state, 0, layers - 1)))
     return tokens
 
 
 class Slots:
-    """Concurrency slots granted in order of rank, then of arrival."""
+    """Concurrency slots, granted by rank, then in order of arrival."""
 
-    def __init__(self, count, most_waiting):
+    def __init__(self, count, max_waiting):
         self.count = count
-        self.most_waiting = most_waiting
+        self.max_waiting = max_waiting
         self.running = 0
         self.waiting = []
         self.condition = threading.Condition()
-        self.arrivals = itertools.count()
+        self.arrival_numbers = itertools.count()
 
     def acquire(self, rank, timeout):
-        """Wait for a slot; False if there is none in time or no room."""
-        entry = (rank, next(self.arrivals))
+        """Wait for a slot; False on a timeout or if the queue is full."""
+        entry = (rank, next(self.arrival_numbers))
         with self.condition:
             if self.running >= self.count:
-                if len(self.waiting) >= self.most_waiting:
+                if len(self.waiting) >= self.max_waiting:
                     return False
             heapq.heappush(self.waiting, entry)
             granted = self.condition.wait_for(
@@ -151,7 +152,7 @@
             return granted
 
     def release(self):
-        """Give a slot back."""
+        """Release a slot."""
         with self.condition:
             self.running -= 1
             self.condition.notify_all()
@@ -163,9 +164,9 @@
     Attributes
     ----------
     ledger : list of LayerRun
-        Everything that ran, for the oracle.
-    refused : int
-        Steps that did not fit and were not run.
+        Everything that ran, for tests.
+    refused_count : int
+        Invalid messages that were refused.
     """
 
     def __init__(self, status, checks_fencing):
@@ -175,18 +176,18 @@
         self.sequences = {}
         self.ledger = []
         self.keep_ledger = True
-        self.refused = 0
+        self.refused_count = 0
         self.lock = threading.Lock()
 
     def begin(self, begin, import_cache=None):
-        """Accept an attempt, refusing a wrong range or an old attempt.
+        """Start an attempt; refuse a wrong range or an outdated attempt.
 
         Parameters
         ----------
         begin : Begin
         import_cache : callable or None
-            Given an address and a request, gives the position to which the
-            engine there holds the KV cache.
+            Maps an address and a request to the position up to which the
+            engine there has the KV cache.
 
         Returns
         -------
@@ -198,10 +199,12 @@
         """
         with self.lock:
             self._check_range(begin.first_layer, begin.last_layer)
-            held = self.sequences.get(begin.request)
-            if held is not None and held.attempt > begin.attempt:
-                self._refuse(f'attempt {begin.attempt} is old')
-        warm = held is not None and held.next_position >= begin.position
+            sequence = self.sequences.get(begin.request)
+            if sequence is not None and sequence.attempt > begin.attempt:
+                self._refuse(f'attempt {begin.attempt} is outdated')
+        warm = (
+            sequence is not None and sequence.next_position >= begin.position
+        )
         if not warm and begin.cache_source and import_cache is not None:
             copied = import_cache(begin.cache_source, begin.request)
             warm = copied is not None and copied >= begin.position
@@ -217,25 +220,26 @@
         Returns
         -------
         int
-            The state that leaves the stage.
+            The output activation of the stage.
 
         Raises
         ------
         PlanInvalid
-            On a wrong range, attempt or position; nothing ran.
+            On a wrong range, attempt or position; no layer ran.
         EndpointFailed
         """
         with self.lock:
             self._check_range(step.first_layer, step.last_layer)
-            held = self.sequences.get(step.request)
-            if held is None or held.attempt != step.attempt:
-                self._refuse(f'attempt {step.attempt} is not the one here')
-            if held.next_position != step.position:
+            sequence = self.sequences.get(step.request)
+            if sequence is None or sequence.attempt != step.attempt:
+                self._refuse(f'attempt {step.attempt} has not begun here')
+            if sequence.next_position != step.position:
                 self._refuse(
-                    f'position {step.position}, not {held.next_position}'
+                    f'position {step.position}, '
+                    f'expected {sequence.next_position}'
                 )
-            self._maybe_die(step.position)
-            held.next_position += 1
+            self._fail_if_due(step.position)
+            sequence.next_position += 1
             if self.keep_ledger:
                 self.ledger.append(self._entry(step))
         return run_layers(step.state, step.first_layer, step.last_layer)
@@ -253,46 +257,46 @@
     def _check_range(self, first, last):
         status = self.status
         if not status.loaded:
-            self._refuse('nothing is loaded')
+            self._refuse('no layers are loaded')
         if (first, last) != (status.first_layer, status.last_layer):
             self._refuse(
-                f'layers {first}-{last} asked, '
-                f'{status.first_layer}-{status.last_layer} held'
+                f'layers {first}-{last} requested, '
+                f'{status.first_layer}-{status.last_layer} loaded'
             )
 
     def _refuse(self, detail):
-        self.refused += 1
+        self.refused_count += 1
         raise exceptions.PlanInvalid(f'{self.status.endpoint}: {detail}')
 
-    def _maybe_die(self, position):
+    def _fail_if_due(self, position):
         switches = self.faults
         if switches.die_at >= 0 and position >= switches.die_at:
             if switches.dies > 0:
                 switches.dies -= 1
                 raise exceptions.EndpointFailed(
-                    f'{self.status.endpoint} died at position {position}'
+                    f'{self.status.endpoint} failed at position {position}'
                 )
 
-    def forget(self, request, attempt):
+    def drop_cache(self, request, attempt):
         """Drop an attempt's KV cache."""
         with self.lock:
-            held = self.sequences.get(request)
-            if held is not None and held.attempt == attempt:
+            sequence = self.sequences.get(request)
+            if sequence is not None and sequence.attempt == attempt:
                 del self.sequences[request]
 
     def cached_position(self, request):
-        """Give the position to which a request's cache reaches, or None."""
+        """Return the position up to which a request is cached, or None."""
         with self.lock:
-            held = self.sequences.get(request)
-            return None if held is None else held.next_position
+            sequence = self.sequences.get(request)
+            return None if sequence is None else sequence.next_position
 
     def order(self, order):
-        """Carry out an order; a repeat changes nothing.
+        """Execute an order; repeating one changes nothing.
 
         Raises
         ------
         StaleOrder
-            From engines that check it, for an old fencing number.
+            If the engine checks fencing and the order's number is too old.
         """
         with self.lock:
             if self.checks_fencing and order.fencing < self.status.fencing:
@@ -330,7 +334,7 @@
     name : str
     spec : schemas.EndpointV2
     loaded : bool
-        Whether it starts with its layers loaded.
+        Whether the layers are loaded at the start.
     """
     if checks_fencing is None:
         checks_fencing = spec.checks_fencing
--- a/packages/standins/ibisring_standins/engineserver.py
+++ b/packages/standins/ibisring_standins/engineserver.py
@@ -1,4 +1,4 @@
-"""The model engine stand-in over HTTP, and the head's token loop."""
+"""HTTP server of the model engine stand-in."""
 
 __all__ = ['EngineServer', 'make_server', 'make_app']
 
@@ -15,20 +15,20 @@
 from ibisring_web import routes
 import msgspec
 
-ORPHAN_SECONDS = 3.0
-KEEP_FINISHED = 256
-SILENCE_LOOK_SECONDS = 0.05
+ORPHAN_TIMEOUT_SECONDS = 3.0
+MAX_KEPT_GENERATIONS = 256
+FAULT_POLL_SECONDS = 0.05
 
 
 class Speed(msgspec.Struct):
-    """Seconds of work: per step of this stage, and per prefilled token."""
+    """Seconds per step of this stage, and per prefilled token."""
 
     step_seconds: float = 0.0
     prefill_seconds: float = 0.0
 
 
 class _Generation:
-    """One attempt at the head; it outlives the connection that began it."""
+    """An attempt at its first stage; it outlives the caller's connection."""
 
     def __init__(self, order):
         self.order = order
@@ -45,15 +45,15 @@
             self.ended = last
             self.changed.notify_all()
 
-    def abandoned(self, now):
-        """Say whether no connection has followed it for too long."""
+    def is_abandoned(self, now):
+        """Return whether it has had no connection for too long."""
         if self.followers or self.orphaned_at is None:
             return False
-        return now - self.orphaned_at > ORPHAN_SECONDS
+        return now - self.orphaned_at > ORPHAN_TIMEOUT_SECONDS
 
 
 class EngineServer:
-    """Serves a `StageEngine`; any stage can be the head of a chain."""
+    """Serves a `StageEngine`, which can be any stage of a chain."""
 
     def __init__(self, engine, speed):
         self.engine = engine
@@ -65,14 +65,14 @@
         self.lock = threading.Lock()
         self.cancelled_count = 0
 
-    # Stage side
+    # Requests to any stage
 
     def begin(self, request):
-        wanted = routes.read_body(request, engine_module.Begin)
-        return routes.json_response(self.begin_here(wanted))
+        message = routes.read_body(request, engine_module.Begin)
+        return routes.json_response(self.begin_local(message))
 
-    def begin_here(self, wanted):
-        return self.engine.begin(wanted, self._import_cache)
+    def begin_local(self, message):
+        return self.engine.begin(message, self._import_cache)
 
     def _import_cache(self, address, request_id):
         try:
@@ -85,66 +85,68 @@
         return routes.json_response(position)
 
     def step(self, request):
-        wanted = routes.read_body(request, engine_module.Step)
-        state = self.step_here(wanted)
+        message = routes.read_body(request, engine_module.Step)
+        state = self.step_local(message)
         return routes.json_response(
-            msgspec.structs.replace(wanted, state=state)
+            msgspec.structs.replace(message, state=state)
         )
 
-    def step_here(self, wanted):
+    def step_local(self, message):
         delay = self.speed.step_seconds + self.engine.faults.step_delay
         if delay:
             time.sleep(delay)
-        return self.engine.step(wanted)
+        return self.engine.step(message)
 
-    def forget(self, request):
-        wanted = routes.read_body(request, engines.CancelRequest)
-        self.engine.forget(wanted.request, wanted.attempt)
+    def drop_cache(self, request):
+        message = routes.read_body(request, engines.CancelRequest)
+        self.engine.drop_cache(message.request, message.attempt)
         return routes.json_response({})
 
-    # Head side
+    # Requests to the first stage
 
     def generate(self, request):
         order = routes.read_body(request, engines.GenerateOrder)
         if self.engine.faults.never_answer:
-            self._stay_silent()
+            self._hang()
         if self.engine.faults.refuse or not self.engine.status.loaded:
             raise exceptions.EndpointRefused(
-                f'{self.engine.status.endpoint} takes no work',
+                f'{self.engine.status.endpoint} accepts no requests',
                 retry_after=0.5,
             )
         if not self.slots.acquire(order.rank, timeout=30):
-            raise exceptions.EndpointRefused('queue full', retry_after=0.5)
+            raise exceptions.EndpointRefused(
+                'request queue is full', retry_after=0.5
+            )
         generation = _Generation(order)
         with self.lock:
             self.generations[order.request, order.attempt] = generation
-            self._trim()
+            self._evict_finished()
         thread = threading.Thread(
             target=self._run, args=(generation,), daemon=True
         )
         thread.start()
         return self._stream(generation, len(order.delivered))
 
-    def _trim(self):
-        while len(self.generations) > KEEP_FINISHED:
+    def _evict_finished(self):
+        while len(self.generations) > MAX_KEPT_GENERATIONS:
             oldest = next(iter(self.generations))
             if not self.generations[oldest].ended:
                 break
             del self.generations[oldest]
 
     def resume(self, request):
-        wanted = routes.read_body(request, engines.ResumeRequest)
+        message = routes.read_body(request, engines.ResumeRequest)
         with self.lock:
-            key = (wanted.request, wanted.attempt)
+            key = (message.request, message.attempt)
             generation = self.generations.get(key)
         if generation is None:
             raise exceptions.NotFound(f'attempt {key}')
-        return self._stream(generation, wanted.position)
+        return self._stream(generation, message.position)
 
     def cancel(self, request):
-        wanted = routes.read_body(request, engines.CancelRequest)
+        message = routes.read_body(request, engines.CancelRequest)
         with self.lock:
-            key = (wanted.request, wanted.attempt)
+            key = (message.request, message.attempt)
             generation = self.generations.get(key)
         if generation is not None and not generation.ended:
             generation.cancelled = True
@@ -187,11 +189,11 @@
                 generation.followers -= 1
                 generation.orphaned_at = time.monotonic()
 
-    def _stay_silent(self):
-        """Say nothing until the fault switches are replaced."""
+    def _hang(self):
+        """Block until the fault switches are replaced."""
         switches = self.engine.faults
         while self.engine.faults is switches:
-            time.sleep(SILENCE_LOOK_SECONDS)
+            time.sleep(FAULT_POLL_SECONDS)
 
     def _emit(self, event):
         switches = self.engine.faults
@@ -199,12 +201,12 @@
         if 0 <= switches.cut_at <= event.position and switches.cuts > 0:
             switches.cuts -= 1
             yield data[: len(data) // 2]
-            # An end without the closing chunk, as a dying process leaves.
+            # Ends without the final chunk, as when a process crashes.
             raise ConnectionAbortedError('cut by a fault')
-        silent = 0 <= switches.silence_at <= event.position
-        if silent and switches.silences > 0:
+        is_silent = 0 <= switches.silence_at <= event.position
+        if is_silent and switches.silences > 0:
             switches.silences -= 1
-            self._stay_silent()
+            self._hang()
         yield data
         if switches.repeat_events:
             yield data
@@ -217,19 +219,19 @@
                 generation.order,
                 transport,
                 lambda: generation.cancelled
-                or generation.abandoned(time.monotonic()),
+                or generation.is_abandoned(time.monotonic()),
             ):
                 ended = not isinstance(event, engines.TokenEvent)
                 generation.publish(event, ended)
         finally:
             self.slots.release()
-            self._forget_all(generation.order)
+            self._drop_caches(generation.order)
 
-    def is_here(self, stage):
-        """Say whether a stage is this engine's own."""
+    def is_local(self, stage):
+        """Return whether this engine runs a stage."""
         return stage.endpoint == self.engine.status.endpoint
 
-    def ask(self, stage, path, message, cls):
+    def call_stage(self, stage, path, message, cls):
         """Call another stage.
 
         Raises
@@ -243,20 +245,20 @@
         except (calls.CallError, exceptions.IbisringError) as error:
             raise firststage.StageLost(stage.endpoint, str(error)) from error
 
-    def _forget_all(self, order):
+    def _drop_caches(self, order):
         cancel = engines.CancelRequest(order.request, order.attempt)
         for stage in order.stages:
-            if self.is_here(stage):
+            if self.is_local(stage):
                 continue
             try:
-                self.ask(stage, '/stage/forget', cancel, object)
+                self.call_stage(stage, '/stage/forget', cancel, object)
             except firststage.StageLost:
                 continue
 
-    # Control
+    # Status, orders and faults
 
     def load(self):
-        """Give the load as it is now."""
+        """Return the current load."""
         slots = self.slots
         running, waiting = slots.running, len(slots.waiting)
         return engines.EngineLoad(running, waiting, slots.count)
@@ -281,22 +283,22 @@
 
 
 class _HttpTransport(firststage.Transport):
-    """Reaches other stages over HTTP and the own one directly."""
+    """Calls other stages over HTTP and the local one directly."""
 
     def __init__(self, server):
         self.server = server
 
     def begin(self, stage, begin):
-        if self.server.is_here(stage):
-            return self.server.begin_here(begin)
-        return self.server.ask(
+        if self.server.is_local(stage):
+            return self.server.begin_local(begin)
+        return self.server.call_stage(
             stage, '/stage/begin', begin, engine_module.BeginReply
         )
 
     def step(self, stage, step):
-        if self.server.is_here(stage):
-            return self.server.step_here(step)
-        answer = self.server.ask(
+        if self.server.is_local(stage):
+            return self.server.step_local(step)
+        answer = self.server.call_stage(
             stage, '/stage/step', step, engine_module.Step
         )
         return answer.state
@@ -323,7 +325,7 @@
             routes.route('POST', '/v1/orders', server.order),
             routes.route('POST', '/stage/begin', server.begin),
             routes.route('POST', '/stage/step', server.step),
-            routes.route('POST', '/stage/forget', server.forget),
+            routes.route('POST', '/stage/forget', server.drop_cache),
             routes.route('GET', '/kv/<request_id>', server.export_cache),
             routes.route('PUT', '/faults', server.set_faults),
             routes.route('GET', '/ledger', server.ledger),
--- a/packages/standins/ibisring_standins/faults.py
+++ b/packages/standins/ibisring_standins/faults.py
@@ -1,4 +1,4 @@
-"""Switches that make a stand-in fail."""
+"""Fault switches of the stand-ins."""
 
 __all__ = ['PlatformFaults', 'EngineFaults', 'ServiceFaults']
 
@@ -8,9 +8,9 @@
 class PlatformFaults(msgspec.Struct):
     """How the platform's stores fail.
 
-    `down` refuses everything.  `lose_answers` is how many of the next
-    commits take effect and then lose their answer.  `delay` is seconds
-    before each answer.
+    `down` refuses every request.  `lose_answers` is how many of the next
+    commits take effect without a response.  `delay` is in seconds before
+    each response.
     """
 
     down: bool = False
@@ -22,12 +22,13 @@
     """How an engine fails.
 
     `die_at` is the token position at which this stage fails its step (-1
-    for never).  `silence_at` is the position after which streams that are
-    open go silent for good while new ones work.  `cut_at` is the position
-    whose event is cut in half before the connection closes.  `never_answer`
-    accepts requests and says nothing.  `refuse` answers that it has not
-    begun.  `step_delay` slows each step by so many seconds.  The counters
-    `dies`, `silences` and `cuts` say how often the fault still happens.
+    for never).  `silence_at` is the position at which open streams stop
+    sending for good, while new ones work.  `cut_at` is the position of which
+    only half of the event is sent before the connection closes.
+    `repeat_events` sends each event twice.  `never_answer` accepts requests
+    without ever responding.  `refuse` responds that the request has not
+    begun.  `step_delay` delays each step by so many seconds.  `dies`,
+    `silences` and `cuts` are how many times the fault still occurs.
     """
 
     die_at: int = -1
@@ -45,9 +46,10 @@
 class ServiceFaults(msgspec.Struct):
     """How a plain service fails.
 
-    `lose_answers` calls run and then close without an answer; `fail` calls
-    answer 500; `refuse` answers that the call has not begun; `hang` accepts
-    and never answers.
+    `lose_answers` calls run, but their responses are truncated; `fail` calls
+    get status 500 after they ran; `refuse` responds that the call has not
+    begun; `hang` accepts calls without ever responding; `delay` is in
+    seconds.
     """
 
     lose_answers: int = 0
--- a/packages/standins/ibisring_standins/firststage.py
+++ b/packages/standins/ibisring_standins/firststage.py
@@ -1,4 +1,4 @@
-"""The head engine's token loop over the stages of a plan."""
+"""Generates tokens over the stages of a chain, as its first stage does."""
 
 __all__ = ['StageLost', 'Transport', 'generate']
 
@@ -12,7 +12,7 @@
 
 
 class StageLost(Exception):
-    """A stage of the chain can't go on.
+    """A stage of the chain failed or can't be reached.
 
     Attributes
     ----------
@@ -25,11 +25,11 @@
 
 
 class Transport(abc.ABC):
-    """How the head reaches a stage, itself included."""
+    """Calls the stages of a chain, the first one included."""
 
     @abc.abstractmethod
     def begin(self, stage, begin):
-        """Begin an attempt at a stage; give an `engine.BeginReply`.
+        """Begin an attempt at a stage; return an `engine.BeginReply`.
 
         Raises
         ------
@@ -38,7 +38,7 @@
 
     @abc.abstractmethod
     def step(self, stage, step):
-        """Pass one token through a stage; give the state that leaves it.
+        """Run a stage for one token; return its output activation.
 
         Raises
         ------
@@ -46,11 +46,11 @@
         """
 
     def prefill(self, tokens):
-        """Spend the time of a prefill; nothing unless overridden."""
+        """Take the time of a prefill; does nothing unless overridden."""
 
 
-def _begin(order, transport):
-    """Begin at every stage, and prefill unless all hold the KV cache."""
+def _begin_stages(order, transport):
+    """Begin at every stage, and prefill unless all have the KV cache."""
     prefill = len(order.prompt.split()) + len(order.delivered)
     warm = True
     for stage in order.stages:
@@ -85,10 +85,10 @@
                 state,
             ),
         )
-    return engine_module.word(state)
+    return engine_module.token_text(state)
 
 
-def _failure(order, tokens, code, endpoint, detail):
+def _failure_event(order, tokens, code, endpoint, detail):
     return engines.FailureEvent(
         order.request,
         order.attempt,
@@ -100,7 +100,7 @@
 
 
 def generate(order, transport, is_cancelled):
-    """Yield the events of an attempt; the last ends it.
+    """Yield the events of an attempt, the last of which ends it.
 
     Parameters
     ----------
@@ -114,22 +114,26 @@
     """
     tokens = list(order.delivered)
     try:
-        _begin(order, transport)
+        _begin_stages(order, transport)
         while len(tokens) < order.max_tokens:
             if is_cancelled():
-                yield _failure(order, tokens, CANCELLED, '', CANCELLED)
+                yield _failure_event(order, tokens, CANCELLED, '', CANCELLED)
                 return
             text = _next_token(order, transport, tokens)
             tokens.append(text)
             yield engines.TokenEvent(
                 order.request, order.attempt, len(tokens) - 1, text
             )
-    except StageLost as lost:
-        yield _failure(order, tokens, engines.STAGE_LOST, lost.endpoint, lost)
+    except StageLost as error:
+        yield _failure_event(
+            order, tokens, engines.STAGE_LOST, error.endpoint, error
+        )
         return
     except exceptions.IbisringError as error:
-        head = order.stages[0].endpoint
-        yield _failure(order, tokens, engines.ENGINE_FAILED, head, error)
+        first_stage = order.stages[0].endpoint
+        yield _failure_event(
+            order, tokens, engines.ENGINE_FAILED, first_stage, error
+        )
         return
     yield engines.FinishEvent(
         order.request,
--- a/packages/standins/ibisring_standins/memory.py
+++ b/packages/standins/ibisring_standins/memory.py
@@ -1,4 +1,4 @@
-"""The platform's stores, in memory."""
+"""In-memory implementations of the platform services."""
 
 __all__ = ['MemoryTable', 'MemoryObjects', 'MemoryVms', 'MemoryWeights']
 
@@ -15,7 +15,7 @@
 import sortedcontainers
 
 
-def _check_up(switches, name):
+def _check_available(switches, name):
     if switches.delay:
         time.sleep(switches.delay)
     if switches.down:
@@ -23,13 +23,13 @@
 
 
 class MemoryTable(tables.TableService):
-    """A table service whose transactions are one lock.
+    """A table service that serializes transactions with a lock.
 
     Attributes
     ----------
     faults : faults.PlatformFaults
     reads, writes : int
-        Calls counted, for budgets.
+        Number of calls, for tests of call budgets.
     """
 
     def __init__(self):
@@ -41,7 +41,7 @@
         self.writes = 0
 
     def read(self, keys):
-        _check_up(self.faults, 'table service')
+        _check_available(self.faults, 'table service')
         with self.lock:
             self.reads += 1
             return {k: self._row(k) for k in keys if k in self.rows}
@@ -51,7 +51,7 @@
         return tables.Row(key, msgspec.json.decode(data), version)
 
     def scan(self, prefix, after='', limit=tables.SCAN_PAGE):
-        _check_up(self.faults, 'table service')
+        _check_available(self.faults, 'table service')
         start = max(prefix, after)
         found = []
         with self.lock:
@@ -64,7 +64,7 @@
         return found
 
     def commit(self, expected, puts, deletes=()):
-        _check_up(self.faults, 'table service')
+        _check_available(self.faults, 'table service')
         with self.lock:
             self.writes += 1
             self._check_versions(expected)
@@ -76,7 +76,9 @@
                 self.rows.pop(key, None)
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise exceptions.PlatformAnswerLost('commit answer lost')
+            raise exceptions.PlatformAnswerLost(
+                'response to the commit was lost'
+            )
         return {key: self.sequence for key in puts}
 
     def _check_versions(self, expected):
@@ -84,7 +86,7 @@
             found = self.rows.get(key, (tables.ABSENT, None))[0]
             if found != version:
                 raise exceptions.Conflict(
-                    f'row {key} is at version {found}, not {version}',
+                    f'row {key} is at version {found}, expected {version}',
                     row=key,
                     found=found,
                     expected=version,
@@ -99,33 +101,33 @@
         self.faults = faults.PlatformFaults()
 
     def put(self, name, value):
-        _check_up(self.faults, 'object store')
+        _check_available(self.faults, 'object store')
         self.values[name] = msgspec.json.encode(value)
 
     def get(self, name):
-        _check_up(self.faults, 'object store')
+        _check_available(self.faults, 'object store')
         data = self.values.get(name)
         return None if data is None else msgspec.json.decode(data)
 
     def names(self, prefix):
-        _check_up(self.faults, 'object store')
+        _check_available(self.faults, 'object store')
         return [name for name in self.values if name.startswith(prefix)]
 
 
 class MemoryVms(vms.VmList):
-    """A VM list that says what it was last told."""
+    """A VM list that returns the last value of `listed`."""
 
     def __init__(self, listed=()):
         self.listed = list(listed)
         self.faults = faults.PlatformFaults()
 
     def read(self):
-        _check_up(self.faults, 'VM list')
+        _check_available(self.faults, 'VM list')
         return list(self.listed)
 
 
 class MemoryWeights(weights.WeightStore):
-    """A weight store with a fixed rate, kept as a token bucket."""
+    """A weight store of a fixed bandwidth; fetches run one after another."""
 
     def __init__(self, megabytes_per_second=2000.0):
         self.rate = megabytes_per_second
@@ -134,12 +136,12 @@
         self.free_at = 0.0
 
     def limit(self):
-        _check_up(self.faults, 'weight store')
+        _check_available(self.faults, 'weight store')
         return self.rate
 
     def reserve(self, megabytes, now):
-        """Give the seconds until a fetch would be complete."""
-        _check_up(self.faults, 'weight store')
+        """Reserve a fetch; return the seconds until it would be complete."""
+        _check_available(self.faults, 'weight store')
         with self.lock:
             start = max(self.free_at, now)
             self.free_at = start + megabytes / self.rate
--- a/packages/standins/ibisring_standins/platformserver.py
+++ b/packages/standins/ibisring_standins/platformserver.py
@@ -1,4 +1,4 @@
-"""The platform stand-in over HTTP."""
+"""HTTP server of the platform stand-in."""
 
 __all__ = ['Platform', 'make_platform', 'make_app']
 
@@ -12,7 +12,7 @@
 
 
 class Platform:
-    """All four platform services in memory."""
+    """The four platform services, in memory."""
 
     __slots__ = ('table', 'objects', 'vms', 'weights')
 
@@ -23,7 +23,7 @@
         self.weights = memory.MemoryWeights()
 
     def set_faults(self, name, switches):
-        """Set the fault switches of one service by its name."""
+        """Replace the fault switches of the service `name`."""
         getattr(self, name).faults = switches
 
 
@@ -37,8 +37,8 @@
         self.platform = platform
 
     def read(self, request):
-        wanted = routes.read_body(request, tables.ReadRequest)
-        found = self.platform.table.read(wanted.keys)
+        message = routes.read_body(request, tables.ReadRequest)
+        found = self.platform.table.read(message.keys)
         return routes.json_response(tables.Rows(list(found.values())))
 
     def scan(self, request):
@@ -50,9 +50,9 @@
         return routes.json_response(tables.Rows(found))
 
     def commit(self, request):
-        wanted = routes.read_body(request, tables.CommitRequest)
+        message = routes.read_body(request, tables.CommitRequest)
         versions = self.platform.table.commit(
-            wanted.expected, wanted.puts, wanted.deletes
+            message.expected, message.puts, message.deletes
         )
         return routes.json_response(tables.Versions(versions))
 
--- a/packages/standins/ibisring_standins/service.py
+++ b/packages/standins/ibisring_standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service stand-in: label lookups or alert dispatch."""
+"""A plain service stand-in, such as label lookup or alert dispatch."""
 
 __all__ = ['PlainService', 'make_service', 'make_app']
 
@@ -12,11 +12,11 @@
 from ibisring_web import routes
 import msgspec
 
-HANG_LOOK_SECONDS = 0.05
+FAULT_POLL_SECONDS = 0.05
 
 
 class Run(msgspec.Struct):
-    """A ledger entry: a call ran."""
+    """A ledger entry: a call that ran."""
 
     request: str
     attempt: int
@@ -24,7 +24,7 @@
 
 
 class PlainService:
-    """Answers each call with its body and its run number."""
+    """Responds to each call with its body and the number of the run."""
 
     def __init__(self, name, slots=8, seconds=0.0):
         self.name = name
@@ -37,7 +37,9 @@
 
     def call(self, request):
         if self.faults.refuse:
-            raise exceptions.EndpointRefused(f'{self.name} takes no work')
+            raise exceptions.EndpointRefused(
+                f'{self.name} accepts no requests'
+            )
         body = routes.read_body(request, object)
         with self.lock:
             self.running += 1
@@ -61,17 +63,17 @@
             time.sleep(delay)
         switches = self.faults
         while switches.hang and self.faults is switches:
-            time.sleep(HANG_LOOK_SECONDS)
+            time.sleep(FAULT_POLL_SECONDS)
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            return routes.event_response(_cut())
+            return routes.event_response(_truncated_body())
         if self.faults.fail > 0:
             self.faults.fail -= 1
             raise exceptions.EndpointFailed(f'{self.name} failed the call')
-        answer = {'service': self.name, 'run': number, 'echo': body}
+        response = {'service': self.name, 'run': number, 'echo': body}
         load = f'{self.running}/0/{self.slots}'
         return routes.json_response(
-            answer, headers={engines.LOAD_HEADER: load}
+            response, headers={engines.LOAD_HEADER: load}
         )
 
     def status(self, request):
@@ -90,7 +92,7 @@
         return routes.json_response(self.ledger)
 
 
-def _cut():
+def _truncated_body():
     yield b'{"'
     raise ConnectionAbortedError('cut by a fault')
 
--- a/packages/standins/ibisring_standins/tests/test_deployments.py
+++ b/packages/standins/ibisring_standins/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""The example files and the deployments they come from."""
+"""Example record files match the deployments that they are written from."""
 
 import collections
 import pathlib
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize('name', deployments.DEPLOYMENTS)
-def test_example_file_is_the_deployment(name):
+def test_example_file_matches_the_deployment(name):
     assert read_example(name) == deployments.DEPLOYMENTS[name]().records
 
 
 @pytest.mark.parametrize(
     ('name', 'service'), [('cocinas', 'etiquetado'), ('morales', 'avisador')]
 )
-def test_example_has_the_sizes_of_the_brief(name, service):
+def test_example_has_the_specified_sizes(name, service):
     submission = records.Submission('example', read_example(name))
     change = submitting.prepare(submission, {})
     current = configuration.build(1, change.records)
--- a/packages/standins/ibisring_standins/tests/test_engine.py
+++ b/packages/standins/ibisring_standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in refuses what does not fit, and copies KV caches."""
+"""The engine stand-in refuses invalid steps and copies KV caches."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    'wrong',
+    'invalid',
     [
         step(first=1),
         step(last=8),
@@ -37,12 +37,12 @@
         engine.Step('other', 1, 0, 0, 7, 1),
     ],
 )
-def test_step_that_does_not_fit_is_refused_and_counted(wrong):
+def test_invalid_step_is_refused_and_counted(invalid):
     stage = make()
     stage.begin(begin())
     with pytest.raises(exceptions.PlanInvalid):
-        stage.step(wrong)
-    assert stage.refused == 1
+        stage.step(invalid)
+    assert stage.refused_count == 1
     assert not stage.ledger
 
 
@@ -55,14 +55,14 @@
     assert len(stage.ledger) == 1
 
 
-def test_older_attempt_can_not_come_back():
+def test_outdated_attempt_is_refused():
     stage = make()
     stage.begin(begin(attempt=2))
     with pytest.raises(exceptions.PlanInvalid):
         stage.begin(begin(attempt=1))
 
 
-def test_cache_is_kept_or_copied_and_else_prefilled():
+def test_attempt_is_cold_unless_the_cache_is_kept_or_copied():
     old, new = make('old'), make('new')
     old.begin(begin())
     for position in range(3):
@@ -78,10 +78,10 @@
     assert old.begin(second, copy).warm
 
 
-def test_layers_out_of_order_change_the_word():
+def test_layers_out_of_order_change_the_activation():
     state = engine.initial_state('pan', [])
-    right = engine.run_layers(state, 0, 7)
+    expected = engine.run_layers(state, 0, 7)
     halves = engine.run_layers(engine.run_layers(state, 0, 3), 4, 7)
     swapped = engine.run_layers(engine.run_layers(state, 4, 7), 0, 3)
-    assert right == halves
-    assert right != swapped
+    assert expected == halves
+    assert expected != swapped
