--- a/packages/gateway/ibisring_gateway/jobs.py
+++ b/packages/gateway/ibisring_gateway/jobs.py
@@ -27,7 +27,7 @@
     splitter : events.EventSplitter
     progress : attempts.Progress
     digest : bytes
-        The same for each attempt of a request, see `identity`.
+        The same for each attempt of a request, see `requestdigest`.
     is_suspect : bool
         Whether it may have crashed an endpoint.
     avoid : set of str
@@ -67,7 +67,7 @@
         self.longest_pause = 0.0
         self.progress = attempts.Progress(
             repeatable=match.route.repeatable,
-            stream=match.route.kind is routing.Kind.STREAM,
+            stream=match.route.kind is routing.RequestKind.STREAM,
             max_endpoints=max(1, match.route.most_endpoints),
         )
 
--- a/packages/router/ibisring_router/logs.py
+++ b/packages/router/ibisring_router/logs.py
@@ -1,14 +1,14 @@
-"""Structured log lines, written for changes of state only."""
+"""Structured logging; lines are written only when some state changes."""
 
-__all__ = ['JsonLines', 'configure', 'event']
+__all__ = ['JsonFormatter', 'configure', 'event']
 
 import logging
 
 import msgspec
 
 
-class JsonLines(logging.Formatter):
-    """One JSON object a line, with the facts of the event."""
+class JsonFormatter(logging.Formatter):
+    """Formats each record as one line of JSON, with the event's facts."""
 
     def format(self, record):
         line = {
@@ -26,11 +26,11 @@
 def configure(level='INFO'):
     """Write JSON lines to standard error."""
     handler = logging.StreamHandler()
-    handler.setFormatter(JsonLines())
+    handler.setFormatter(JsonFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
     logging.getLogger('urllib3').setLevel(logging.ERROR)
 
 
 def event(logger, name, **facts):
-    """Log a change of state with its facts."""
+    """Log a change of state and the facts about it."""
     logger.info(name, extra={'facts': facts})
--- a/packages/soak/ibisring_soak/callers.py
+++ b/packages/soak/ibisring_soak/callers.py
@@ -117,7 +117,7 @@
             response = conn.getresponse()
             call.status = response.status
             call.signed = running.is_signed(response.headers)
-            call.response_id = running.answered_id(response.headers)
+            call.response_id = running.response_request_id(response.headers)
             if call.kind == 'stream' and rng.random() < ABANDONED_STREAM_SHARE:
                 time.sleep(ABANDON_AFTER_SECONDS)
                 call.abandoned = True
@@ -132,7 +132,7 @@
             LOG.debug('request %s failed: %s', call.id, error)
         if call.kind == 'stream':
             reply = running.Reply(call.status, {}, call.body, call.complete)
-            call.events = reply.words() if call.status == 200 else []
+            call.events = reply.event_data() if call.status == 200 else []
         return call.complete and not response.will_close
 
 
--- a/packages/soak/ibisring_soak/injecting.py
+++ b/packages/soak/ibisring_soak/injecting.py
@@ -148,9 +148,9 @@
             self._drain(engine)
         elif fault.kind == 'dark':
             self._record_disruption('endpoints', fault.duration)
-            engine.dark = True
+            engine.unresponsive = True
             time.sleep(fault.duration)
-            engine.dark = False
+            engine.unresponsive = False
         elif fault.kind == 'restart':
             self._record_disruption('endpoints', fault.duration)
             engine.restart()
--- a/packages/soak/ibisring_soak/ratelimits.py
+++ b/packages/soak/ibisring_soak/ratelimits.py
@@ -155,7 +155,7 @@
                 pool.submit(self._call, number)
         site = self.world.site
         servers = {**site.engines, **site.services}
-        runs = {name: list(each.ran_at) for name, each in servers.items()}
+        runs = {name: list(each.run_times) for name, each in servers.items()}
         return Observations(self.calls, runs, start + PROPAGATION_SECONDS)
 
     def _call(self, number):
--- a/packages/soak/ibisring_soak/world.py
+++ b/packages/soak/ibisring_soak/world.py
@@ -50,7 +50,9 @@
             failure_domain=domain,
             grace_s=GRACE_SECONDS,
         )
-        self.caller_link = proxy.make_proxy(f'127.0.0.1:{self.process.front}')
+        self.caller_link = proxy.make_proxy(
+            f'127.0.0.1:{self.process.caller_port}'
+        )
         self.in_rotation = False
         self.terminated_at = None
         self.killed = False
@@ -233,7 +235,7 @@
     def collect(self):
         """Add the endpoints' observations, and return the history."""
         self.history.runs = [records.Run(*each) for each in self.site.runs()]
-        self.history.overloaded = list(self.site.overloaded)
+        self.history.overloaded = list(self.site.overfilled_engines)
         return self.history
 
     def stop(self):
--- a/packages/standins/ibisring_standins/engine.py
+++ b/packages/standins/ibisring_standins/engine.py
@@ -201,7 +201,7 @@
             self._check_range(begin.first_layer, begin.last_layer)
             sequence = self.sequences.get(begin.request)
             if sequence is not None and sequence.attempt > begin.attempt:
-                self._refuse(f'attempt {begin.attempt} is outdated')
+                self._refuse(f'attempt {begin.attempt} is old')
         warm = (
             sequence is not None and sequence.next_position >= begin.position
         )
@@ -232,11 +232,10 @@
             self._check_range(step.first_layer, step.last_layer)
             sequence = self.sequences.get(step.request)
             if sequence is None or sequence.attempt != step.attempt:
-                self._refuse(f'attempt {step.attempt} has not begun here')
+                self._refuse(f'attempt {step.attempt} is not the one here')
             if sequence.next_position != step.position:
                 self._refuse(
-                    f'position {step.position}, '
-                    f'expected {sequence.next_position}'
+                    f'position {step.position}, not {sequence.next_position}'
                 )
             self._fail_if_due(step.position)
             sequence.next_position += 1
@@ -257,11 +256,11 @@
     def _check_range(self, first, last):
         status = self.status
         if not status.loaded:
-            self._refuse('no layers are loaded')
+            self._refuse('nothing is loaded')
         if (first, last) != (status.first_layer, status.last_layer):
             self._refuse(
-                f'layers {first}-{last} requested, '
-                f'{status.first_layer}-{status.last_layer} loaded'
+                f'layers {first}-{last} asked, '
+                f'{status.first_layer}-{status.last_layer} held'
             )
 
     def _refuse(self, detail):
@@ -274,7 +273,7 @@
             if switches.dies > 0:
                 switches.dies -= 1
                 raise exceptions.EndpointFailed(
-                    f'{self.status.endpoint} failed at position {position}'
+                    f'{self.status.endpoint} died at position {position}'
                 )
 
     def drop_cache(self, request, attempt):
--- a/packages/standins/ibisring_standins/engineserver.py
+++ b/packages/standins/ibisring_standins/engineserver.py
@@ -110,13 +110,11 @@
             self._hang()
         if self.engine.faults.refuse or not self.engine.status.loaded:
             raise exceptions.EndpointRefused(
-                f'{self.engine.status.endpoint} accepts no requests',
+                f'{self.engine.status.endpoint} takes no work',
                 retry_after=0.5,
             )
         if not self.slots.acquire(order.rank, timeout=30):
-            raise exceptions.EndpointRefused(
-                'request queue is full', retry_after=0.5
-            )
+            raise exceptions.EndpointRefused('queue full', retry_after=0.5)
         generation = _Generation(order)
         with self.lock:
             self.generations[order.request, order.attempt] = generation
--- a/packages/standins/ibisring_standins/memory.py
+++ b/packages/standins/ibisring_standins/memory.py
@@ -76,9 +76,7 @@
                 self.rows.pop(key, None)
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise exceptions.PlatformAnswerLost(
-                'response to the commit was lost'
-            )
+            raise exceptions.PlatformAnswerLost('commit answer lost')
         return {key: self.sequence for key in puts}
 
     def _check_versions(self, expected):
@@ -86,7 +84,7 @@
             found = self.rows.get(key, (tables.ABSENT, None))[0]
             if found != version:
                 raise exceptions.Conflict(
-                    f'row {key} is at version {found}, expected {version}',
+                    f'row {key} is at version {found}, not {version}',
                     row=key,
                     found=found,
                     expected=version,
--- a/packages/standins/ibisring_standins/service.py
+++ b/packages/standins/ibisring_standins/service.py
@@ -37,9 +37,7 @@
 
     def call(self, request):
         if self.faults.refuse:
-            raise exceptions.EndpointRefused(
-                f'{self.name} accepts no requests'
-            )
+            raise exceptions.EndpointRefused(f'{self.name} takes no work')
         body = routes.read_body(request, object)
         with self.lock:
             self.running += 1
