--- a/packages/router/ibisring_router/attempterrors.py
+++ b/packages/router/ibisring_router/attempterrors.py
@@ -19,9 +19,9 @@
     retries.Failure.FAILED: 'ran the request and failed',
     retries.Failure.STAGE_LOST: 'was lost while the request ran',
     retries.Failure.CUT: 'broke off before its answer was whole',
-    retries.Failure.SILENT: 'did not respond in time',
+    retries.Failure.SILENT: 'fell silent',
     retries.Failure.SLOW: 'became too slow',
-    retries.Failure.GONE: 'was interrupted: the caller disconnected',
+    retries.Failure.GONE: 'was left by the caller',
 }
 
 
--- a/packages/router/ibisring_router/claiming.py
+++ b/packages/router/ibisring_router/claiming.py
@@ -168,7 +168,7 @@
         members = self.members()
         if members is None:
             raise exceptions.ClaimUnavailable(
-                'this router has not read the VM list yet',
+                'the VM list was never read here',
                 retry_after=RETRY_AFTER_SECONDS,
             )
         table, holder = self._commit_claim(claim)
@@ -187,8 +187,7 @@
         if decision.verdict is claims_module.Verdict.HELD:
             raise HeldElsewhere(decision.holder)
         raise exceptions.ClaimUnavailable(
-            f'{len(votes)} of {len(voter_ids)} voters replied, too few to'
-            ' confirm the claim',
+            f'{len(votes)} of {len(voter_ids)} routers remember the claim',
             retry_after=RETRY_AFTER_SECONDS,
         )
 
--- a/packages/router/ibisring_router/dispatching.py
+++ b/packages/router/ibisring_router/dispatching.py
@@ -116,11 +116,7 @@
         future = self.futures.pop(message.ticket_id, None)
         results = self.dispatcher.cancel(message.ticket_id, self.clock())
         if future is not None:
-            future.set_exception(
-                exceptions.CallerGone(
-                    'the caller disconnected while the request waited'
-                )
-            )
+            future.set_exception(exceptions.CallerGone('cancelled in queue'))
         self._set_results(results)
 
     def on_tick(self, message):
--- a/packages/router/ibisring_router/heldanswers.py
+++ b/packages/router/ibisring_router/heldanswers.py
@@ -85,7 +85,7 @@
             if ended:
                 return
             raise exceptions.OutcomeUnknown(
-                'the first copy of the request was still running'
+                'the first copy still runs at the deadline'
             )
 
 
@@ -141,7 +141,7 @@
                 return held, False
             if len(self.running) >= MAX_RUNNING:
                 raise exceptions.Overloaded(
-                    f'{MAX_RUNNING} keyed requests are running here',
+                    'too many keyed requests run',
                     retry_after=1.0,
                 )
             held = self.running[key] = HeldAnswer(fingerprint)
@@ -196,7 +196,7 @@
     """
     if held != given:
         raise exceptions.IdempotencyKeyReused(
-            'the Idempotency-Key was already used for a different request'
+            'the Idempotency-Key was used for another request'
         )
 
 
--- a/packages/router/ibisring_router/keyed.py
+++ b/packages/router/ibisring_router/keyed.py
@@ -155,7 +155,7 @@
         view = self._poll_owner(request, holder)
         if view is None or view.state is not claiming.HeldState.ENDED:
             return exceptions.OutcomeUnknown(
-                f'router {holder.owner} started it and returned no answer'
+                f'router {holder.owner} began it and gives no answer'
             )
         if view.error_code:
             return exceptions.error_from_code(
--- a/packages/router/ibisring_router/process.py
+++ b/packages/router/ibisring_router/process.py
@@ -355,7 +355,7 @@
         listener.start()
     except OSError as error:
         raise settings_module.invalid_setting(
-            name, address, f'an address that can be bound on this VM ({error})'
+            name, address, f'an address that is free here ({error})'
         ) from error
 
 
--- a/packages/router/ibisring_router/readiness.py
+++ b/packages/router/ibisring_router/readiness.py
@@ -25,7 +25,7 @@
         NotReady
         """
         if self.draining:
-            raise exceptions.NotReady('this router is shutting down')
+            raise exceptions.NotReady('this router is leaving')
         self.keeper.require()
 
 
--- a/packages/router/ibisring_router/recordkeeping.py
+++ b/packages/router/ibisring_router/recordkeeping.py
@@ -158,7 +158,7 @@
         """
         if self.current is None:
             raise exceptions.NotReady(
-                'this router has no configuration yet', retry_after=1.0
+                'no configuration is in force here yet', retry_after=1.0
             )
         return self.current
 
@@ -294,7 +294,7 @@
                 accepted = records.Accepted(submission.id, change.revision)
                 return accepted, change
         raise exceptions.NotAccepted(
-            f'other submissions were committed first {MAX_TRIES} times',
+            'other submissions kept coming first',
             submission=submission.id,
         )
 
@@ -327,7 +327,7 @@
         for key, revision in found.items():
             if read_revisions is not None and read_revisions[key] != revision:
                 raise exceptions.Conflict(
-                    f'{key} changed to revision {revision} while this was'
+                    f'{key} moved to revision {revision} while this was'
                     f' submitted on revision {read_revisions[key]}',
                     in_force=revision,
                     submitted_on=read_revisions[key],
--- a/packages/router/ibisring_router/requestlimiter.py
+++ b/packages/router/ibisring_router/requestlimiter.py
@@ -67,7 +67,7 @@
             limit = self.threads if is_urgent else self.threads - self.urgent
             if self.held_threads >= limit:
                 raise exceptions.Overloaded(
-                    f'{self.held_threads} requests hold caller threads here',
+                    f'{self.held_threads} requests are in flight here',
                     retry_after=RETRY_AFTER_SECONDS,
                 )
             self.held_threads += 1
--- a/packages/router/ibisring_router/storebudget.py
+++ b/packages/router/ibisring_router/storebudget.py
@@ -54,7 +54,7 @@
         if not allowed:
             self.metrics.count('store.budget_spent')
             raise exceptions.StoreBudgetSpent(
-                "this router's share of calls to the table service is used up"
+                "this router's part of the table service's calls is spent"
             )
 
 
