--- a/packages/soak/ibisring_soak/tests/test_ratelimits.py
+++ b/packages/soak/ibisring_soak/tests/test_ratelimits.py
@@ -31,7 +31,7 @@
 
 
 def test_other_endpoints_serve_what_exceeds_a_limit(tmp_path):
-    """Failure: a ratelimits endpoint gets as many requests as the others."""
+    """Failure: a limited endpoint gets as many requests as the others."""
     load = ratelimits.Load({'p1': '1'})
     load, observed = _run_load(tmp_path, load, 0, 2)
     _assert_limits_enforced(load, observed)
--- a/packages/standins/ibisring_standins/engineserver.py
+++ b/packages/standins/ibisring_standins/engineserver.py
@@ -296,10 +296,10 @@
     def step(self, stage, step):
         if self.server.is_local(stage):
             return self.server.step_local(step)
-        answer = self.server.call_stage(
+        reply = self.server.call_stage(
             stage, '/stage/step', step, engine_module.Step
         )
-        return answer.state
+        return reply.state
 
     def prefill(self, tokens):
         seconds = self.server.speed.prefill_seconds * tokens
