--- a/packages/gateway/ibisring_gateway/forwarding.py
+++ b/packages/gateway/ibisring_gateway/forwarding.py
@@ -23,7 +23,7 @@
 # A router without a configuration has just started during an outage of the
 # store; outages last seconds, and callers retry once or twice only.
 NOT_READY_RETRY_SECONDS = 2.0
-SECOND_MS = 1000.0
+MS_PER_SECOND = 1000.0
 CONTINUING = (attempts.NextStep.RETRY, attempts.NextStep.RESUME)
 # Longest time for which a started stream waits for an endpoint with room, and
 # interval at which the choice is repeated.
@@ -134,7 +134,7 @@
             retry_after=error.retry_after,
             table=snapshot.version,
             table_age_ms=round(
-                (self.clock() - snapshot.table_read_at) * SECOND_MS
+                (self.clock() - snapshot.table_read_at) * MS_PER_SECOND
             ),
             **error.facts,
         )
@@ -148,7 +148,7 @@
             'request',
             id=request_id,
             outcome=outcome,
-            ms=round(seconds * SECOND_MS, 1),
+            ms=round(seconds * MS_PER_SECOND, 1),
             **facts,
         )
 
@@ -201,7 +201,7 @@
             table=self.view.snapshot.version,
             endpoints_age_ms=round(
                 (self.clock() - self.view.snapshot.endpoints_read_at)
-                * SECOND_MS
+                * MS_PER_SECOND
             ),
         )
 
@@ -233,7 +233,7 @@
                 next=step.value,
                 tries=progress.tries,
                 endpoints=job.sent_to,
-                left_ms=round(progress.time_left * SECOND_MS),
+                left_ms=round(progress.time_left * MS_PER_SECOND),
                 after_event=job.splitter.last_position,
             )
             if step not in CONTINUING:
@@ -361,7 +361,7 @@
 
 
 def _rounded_ms(seconds):
-    return None if seconds is None else round(seconds * SECOND_MS)
+    return None if seconds is None else round(seconds * MS_PER_SECOND)
 
 
 def _chain_text(stages):
--- a/packages/gateway/ibisring_gateway/sending.py
+++ b/packages/gateway/ibisring_gateway/sending.py
@@ -17,7 +17,7 @@
 TIMEOUT_OBJECTIVES = 2.0
 # Plain answers up to this size in bytes are buffered until complete.
 MAX_BUFFERED_BYTES = 1 << 20
-SECOND_MS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 class Sender:
@@ -143,7 +143,7 @@
             endpoint=attempt.endpoint.id,
             end=attempt.result.value if attempt.result else None,
             ended=has_crashed,
-            ran_ms=round((self.clock() - attempt.sent_at) * SECOND_MS),
+            ran_ms=round((self.clock() - attempt.sent_at) * MS_PER_SECOND),
             events=attempt.events,
             why=str(error),
         )
--- a/packages/gateway/ibisring_gateway/settings.py
+++ b/packages/gateway/ibisring_gateway/settings.py
@@ -9,7 +9,7 @@
 from ibisring_records import exceptions
 
 ADDRESS = re.compile(r'^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$')
-SECOND_MS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 class Settings(msgspec.Struct, kw_only=True):
--- a/packages/gateway/ibisring_gateway/tests/test_selecting.py
+++ b/packages/gateway/ibisring_gateway/tests/test_selecting.py
@@ -18,10 +18,10 @@
     return builders.make_view(endpoints)
 
 
-def _chain_view(*heads):
+def _chain_view(*first_stages):
     engines = [
         build.held_endpoint(name, 0, 40, address=f'{name}:1', card='big')
-        for name in heads
+        for name in first_stages
     ]
     engines.append(
         build.held_endpoint('tail', 40, 80, address='tail:1', card='big')
--- a/packages/gateway/ibisring_gateway/upstream.py
+++ b/packages/gateway/ibisring_gateway/upstream.py
@@ -77,7 +77,7 @@
 
         Raises
         ------
-        Failed
+        ConnectionFailed
         """
         if not fresh:
             idle = self._reuse(endpoint)
@@ -112,7 +112,7 @@
             conn.close()
 
     def release(self, endpoint, conn):
-        """Return a connection whose answer was read completely."""
+        """Put back a connection whose answer was read completely."""
         key = endpoint.id, endpoint.address
         with self.lock:
             idle = self.idle.setdefault(key, [])
@@ -138,7 +138,7 @@
 
         Raises
         ------
-        Failed
+        ConnectionFailed
         """
         conn.timeout = time_left
         try:
@@ -185,7 +185,7 @@
 
     Raises
     ------
-    Failed
+    ConnectionFailed
     """
     try:
         return response.read1(65536, decode_content=False)
